--- a/capacity/admit.go
+++ b/capacity/admit.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// onTimeShare is the part of what is left of the objective that the expected time may take for a request to count
-	// as on time.
+	// onTimeShare is the share of the remaining objective that the expected time may take for a request to count as on
+	// time.
 	onTimeShare = 0.9
-	// lateFactor is the multiple of the objective within which a request that will be late is still taken.
+	// lateFactor is the multiple of the objective up to which a late request is still admitted.
 	lateFactor = 1.5
-	// returnedLateFactor is the same for a request that was refused before and has come back: a second refusal would be
-	// its last answer. Callers leave a silent stream after four times the objective.
-	returnedLateFactor = 3.5
-	// finishShare is the part of the time left that a late first piece may take, so that the rest of the answer fits.
-	finishShare = 0.5
-	// returnedShare is the part of the longest time that callers of a route have below which a request counts as returned.
-	returnedShare   = 0.95
-	leastRetryAfter = 150 * time.Millisecond
+	// retryLateFactor is the same for a request that was refused before and is retried, because a second refusal would
+	// be final. Callers abandon a stream without output after four times the objective.
+	retryLateFactor = 3.5
+	// firstChunkShare is the share of the time left that the first chunk of a late response may take, so that the rest
+	// of the response fits.
+	firstChunkShare = 0.5
+	// retryTimeShare is the share of the longest time left seen on a route below which a request counts as a retry.
+	retryTimeShare = 0.95
+	minRetryAfter  = 150 * time.Millisecond
 )
 
-// Verdict tells what happens to a request at the door.
+// Verdict is the admission decision for a request.
 type Verdict int
 
 // Verdicts.
 const (
-	// Take sends the request to the chosen endpoint, on time.
+	// Take sends the request to the chosen endpoint; it is expected to be on time.
 	Take Verdict = iota
-	// TakeLate sends it although it will be late, behind what can be on time.
+	// TakeLate sends the request although it will be late, with a rank below all requests that can be on time.
 	TakeLate
-	// Refuse answers at once that the request was not run, and when to come back.
+	// Refuse answers at once that the request was not run, and when to retry.
 	Refuse
 )
 
@@ -43,42 +44,44 @@
 	}
 }
 
-// Asked is what a caller wants of the time.
+// Asked is the time budget of a request.
 type Asked struct {
-	// Objective is what is left until the answer should begin, and Left until the caller goes away.
+	// Objective is the time left until the response should begin, and Left the time until the caller abandons the
+	// request.
 	Objective time.Duration
 	Left      time.Duration
-	// WholeObjective is the route's objective.
+	// WholeObjective is the objective of the route.
 	WholeObjective time.Duration
-	// Returned says that the request was refused before.
+	// Returned reports whether the request is a retry after a refusal.
 	Returned bool
 }
 
-// Returned reports whether a caller with so much time left has been refused before, by the longest time that callers of
-// its route were seen to have: they count from their first attempt.
+// Returned reports whether a request with that much time left is a retry after a refusal. Callers count their time from
+// the first attempt, so a retry has less left than longest, the longest time left seen on the route.
 func Returned(left, longest time.Duration) bool {
-	return float64(left) < returnedShare*float64(longest)
+	return float64(left) < retryTimeShare*float64(longest)
 }
 
-// Admit decides whether a request is taken whose first piece is expected after a time, or after the time late if it is
-// sent behind all that can be on time.
+// Admit decides whether to admit a request. expected is the expected time to the first chunk at the request's own rank,
+// and late the same if it is sent with a rank below all requests that can be on time.
 func Admit(expected, late time.Duration, a Asked) Verdict {
 	if expected <= time.Duration(onTimeShare*float64(a.Objective)) {
 		return Take
 	}
 	factor := lateFactor
 	if a.Returned {
-		factor = returnedLateFactor
+		factor = retryLateFactor
 	}
-	if late <= time.Duration(factor*float64(a.WholeObjective)) && late <= time.Duration(finishShare*float64(a.Left)) {
+	if late <= time.Duration(factor*float64(a.WholeObjective)) && late <= time.Duration(firstChunkShare*float64(a.Left)) {
 		return TakeLate
 	}
 	return Refuse
 }
 
-// RetryAfter returns when a refused request should come back: when the backlog has fallen to what it can bear, spread
-// by the draw in [0, 1) over as long again so that not all come back together.
+// RetryAfter returns the time after which a refused request should be retried: half of the time by which expected
+// exceeds half of the objective, in which the backlog falls, and up to twice as much again by the draw in [0, 1), so
+// that retries do not all arrive together. It is at most a third of the time left, or minRetryAfter if that is longer.
 func RetryAfter(expected time.Duration, a Asked, draw float64) time.Duration {
-	excess := max(expected-a.WholeObjective/2, leastRetryAfter)
-	return min(excess/2+time.Duration(draw*float64(excess)), max(a.Left/3, leastRetryAfter))
+	excess := max(expected-a.WholeObjective/2, minRetryAfter)
+	return min(excess/2+time.Duration(draw*float64(excess)), max(a.Left/3, minRetryAfter))
 }
--- a/capacity/choose.go
+++ b/capacity/choose.go
@@ -7,137 +7,147 @@
 )
 
 const (
-	// chunkTime is how much longer an output token takes while an engine reads a chunk of a prompt in each step: chunks of
-	// 1,024 tokens at about 100 a millisecond.
-	chunkTime = 10 * time.Millisecond
-	// decodeWeight is the worth of a sooner end of a stream, as a part of that of a sooner beginning.
+	// prefillChunkTime is the additional time per output token while an engine prefills a chunk of a prompt in each
+	// step: chunks of 1,024 tokens at about 100 tokens per millisecond.
+	prefillChunkTime = 10 * time.Millisecond
+	// decodeWeight is the weight of the end of a stream relative to that of its beginning.
 	decodeWeight = 0.1
 	// failureCost is the expected cost of a failure, as a multiple of the objective.
 	failureCost = 2.0
-	// memoryShare is the part of an endpoint's token memory that is filled before it counts as full; beyond it running
-	// requests are preempted.
-	memoryShare = 0.92
-	// sharedCost is the cost of reading a shared part that another endpoint keeps, as a multiple of the time that it takes:
-	// the time is also lost to everything that waits behind it, and the copy takes memory from other parts.
-	sharedCost = 3.0
-	// fetchShare is the cost of fetching a shared part from the endpoint that keeps it, as a part of that of reading it
-	// again. It takes a few per cent of the time, but an endpoint whose requests go elsewhere soon loses the parts, and
-	// there is nothing left to fetch.
-	fetchShare = 0.7
-	// unsoundFailures and unsoundSlowdown are the share of failures and the slowdown beyond which nothing is fetched from
-	// an endpoint.
-	unsoundFailures = 0.3
-	unsoundSlowdown = 2
-	// remoteCost is the cost of a byte that crosses failure domains: links between them are shared by all traffic.
-	remoteCost = 1500 * time.Nanosecond
-	// equalTime is the difference in expected time below which two endpoints count as equal.
-	equalTime = 2 * time.Millisecond
+	// maxMemoryShare is the share of an endpoint's token memory above which it counts as full; beyond it the engine
+	// preempts running requests.
+	maxMemoryShare = 0.92
+	// sharedPrefixCost is the cost of prefilling shared parts that another endpoint has cached, as a multiple of the
+	// time that it takes. It is above one because the prefill also delays all requests queued behind it, and the copy
+	// evicts other parts from the cache.
+	sharedPrefixCost = 3.0
+	// fetchCostShare is the cost of fetching shared parts from the endpoint that has cached them, as a share of the
+	// cost of prefilling them again. A fetch takes only a few per cent of the time, but an endpoint whose requests go
+	// elsewhere soon evicts the parts, and then they can no longer be fetched.
+	fetchCostShare = 0.7
+	// maxSourceFailures and maxSourceSlowdown are the share of failures and the slowdown beyond which nothing is
+	// fetched from an endpoint.
+	maxSourceFailures = 0.3
+	maxSourceSlowdown = 2
+	// remoteByteCost is the cost of each byte that crosses failure domains, because all traffic shares the links
+	// between them.
+	remoteByteCost = 1500 * time.Nanosecond
+	// tieThreshold is the difference in cost below which two endpoints count as equal.
+	tieThreshold = 2 * time.Millisecond
 )
 
-// Candidate is an endpoint that may take a request.
+// Candidate is an endpoint that may serve a request.
 type Candidate struct {
 	ID          string
 	Outstanding Outstanding
 	Health      Health
-	// Slots is the number of requests that it serves at once, and Memory the tokens that it holds; zero bounds nothing.
+	// Slots is the number of requests that the endpoint serves at once, and Memory the number of tokens that it can
+	// hold; zero means no limit.
 	Slots  int
 	Memory int64
-	// KeptParts is the number of the request's first shared parts that it was seen to read lately.
+	// KeptParts is the number of leading shared parts of the request's prompt that the endpoint has recently prefilled.
 	KeptParts int
-	// Busy is the share of its time for which it reads prompts.
+	// Busy is the share of time that the endpoint spends on prefill.
 	Busy float64
-	// Failing is the share of requests that failed there lately, at all gateways.
+	// Failing is the recent share of failed requests at the endpoint, over all gateways.
 	Failing float64
-	// Remote says that it lies in another failure domain than the gateway.
+	// Remote reports whether the endpoint is in another failure domain than the gateway.
 	Remote bool
 }
 
-// Choice is the endpoint that takes a request.
+// Choice is the endpoint chosen for a request.
 type Choice struct {
 	Index int
-	// Expected is the time to the first piece, and Cost the same with all else that counts against the endpoint.
+	// Expected is the expected time to the first chunk, and Cost that time plus all other costs of the endpoint.
 	Expected time.Duration
 	Cost     time.Duration
-	// Unread is the number of prompt tokens that the endpoint has to read.
+	// Unread is the number of uncached prompt tokens that the endpoint has to prefill.
 	Unread int64
-	// Keeper is the candidate from which the endpoint fetches the shared parts of the prompt; negative if none.
+	// Keeper is the index of the candidate from which the endpoint fetches the shared parts of the prompt, or -1 if
+	// none.
 	Keeper int
-	// Favourite says that the request's subject is hashed to the endpoint.
+	// Favourite reports whether the request's last shared part is hashed to the endpoint.
 	Favourite bool
-	// Full says that the endpoint has no slot or no memory left, so that the request waits for another one to end.
+	// Full reports whether the endpoint has no free slot or memory, so that the request waits for another one to end.
 	Full bool
 }
 
-// Prospect is what a request meets at an endpoint.
+// Prospect is the expected wait of a request at an endpoint.
 type Prospect struct {
-	// Wait is the time to the first piece.
+	// Wait is the expected time to the first chunk.
 	Wait time.Duration
-	// Full says that the request waits for a slot or for memory.
+	// Full reports whether the request waits for a slot or memory.
 	Full bool
 }
 
-// Expected returns what w meets at c, where it makes the endpoint read so many tokens.
-func Expected(c Candidate, w Work, unread int64, s Speed) Prospect {
-	d := s.Base + stretched(s.Token*time.Duration(c.Outstanding.PromptTokens.Before(w.Rank)+unread), s.Overtaking.Reading[w.Rank])
+// Expected estimates the wait of w at c if the endpoint has to prefill that many uncached tokens.
+func Expected(c Candidate, w Work, uncached int64, s Speed) Prospect {
+	d := s.Base + inflateWait(
+		s.Token*time.Duration(c.Outstanding.PromptTokens.Before(w.Rank)+uncached), s.Overtaking.Reading[w.Rank],
+	)
 	slot := slotWait(c, w.Rank, s)
 	d += slot
-	crowded := c.Memory > 0 && float64(c.Outstanding.HeldTokens+unread+w.OutputTokens) > memoryShare*float64(c.Memory)
-	if crowded {
+	memoryFull := c.Memory > 0 &&
+		float64(c.Outstanding.HeldTokens+uncached+w.OutputTokens) > maxMemoryShare*float64(c.Memory)
+	if memoryFull {
 		d += s.Whole / 2
 	}
-	return Prospect{Wait: time.Duration(float64(d) * c.Health.Slowdown()), Full: slot > 0 || crowded}
+	return Prospect{Wait: time.Duration(float64(d) * c.Health.Slowdown()), Full: slot > 0 || memoryFull}
 }
 
-// slotWait returns the time until a request of a rank gets a slot: those that run have to end, and those that wait with
-// the same or a more urgent rank go first.
+// slotWait returns the expected time until a request of the rank gets a slot: enough running requests have to end, and
+// the waiting ones with the same or a more urgent rank take slots first.
 func slotWait(c Candidate, rank int, s Speed) time.Duration {
 	running := int64(c.Outstanding.Requests) - c.Outstanding.Waiting.All()
-	before := running + c.Outstanding.Waiting.Before(rank) - int64(c.Slots) + 1
-	if c.Slots == 0 || before <= 0 {
+	ahead := running + c.Outstanding.Waiting.Before(rank) - int64(c.Slots) + 1
+	if c.Slots == 0 || ahead <= 0 {
 		return 0
 	}
-	return stretched(s.Whole*time.Duration(before)/time.Duration(c.Slots), s.Overtaking.Slots[rank])
+	return inflateWait(s.Whole*time.Duration(ahead)/time.Duration(c.Slots), s.Overtaking.Slots[rank])
 }
 
-// DecodeCost returns what the later end of a stream costs at engines that read prompts for a share of their time.
+// DecodeCost returns the cost of the slower decoding at an endpoint that spends the share busy of its time on prefill.
 func DecodeCost(w Work, busy float64) time.Duration {
-	return time.Duration(decodeWeight * busy * float64(w.OutputTokens) * float64(chunkTime))
+	return time.Duration(decodeWeight * busy * float64(w.OutputTokens) * float64(prefillChunkTime))
 }
 
-// Choose returns the candidate with the least expected cost, or false if there is none. Requests of one subject go to
-// the endpoint that the subject is hashed to, so that its shared parts are read once, until its backlog costs more than
-// to fetch them from there, a token in fetch, or to read them again; draw in [0, 1) decides between equals.
+// Choose returns the candidate with the least expected cost, or false if there is none. Requests with the same last
+// shared part go to the endpoint that the part is hashed to, so that shared parts are prefilled only once. They go to
+// another endpoint when the backlog there costs more than fetching the parts from it, at fetch per token, or prefilling
+// them again. The draw in [0, 1) decides between equal candidates.
 func Choose(candidates []Candidate, w Work, s Speed, fetch, objective time.Duration, draw float64) (Choice, bool) {
 	best := Choice{Index: -1}
 	var bestCost time.Duration
-	equals := 0
-	favourite := favourite(candidates, w)
-	keeps := favourite >= 0 && fetch > 0 && candidates[favourite].sound()
-	whole := w.Unread(len(w.Shared()))
-	usual := usualFailing(candidates)
+	ties := 0
+	preferred := preferredCandidate(candidates, w)
+	fetchable := preferred >= 0 && fetch > 0 && candidates[preferred].canServeFetches()
+	minUncached := w.Unread(len(w.Shared()))
+	baseline := baselineFailureRate(candidates)
 	for i, c := range candidates {
-		unread, keeper := w.Unread(c.KeptParts), -1
-		extra := time.Duration(sharedCost * float64(s.Token) * float64(unread-whole))
+		uncached, source := w.Unread(c.KeptParts), -1
+		extra := time.Duration(sharedPrefixCost * float64(s.Token) * float64(uncached-minUncached))
 		switch {
-		case i == favourite:
-			// All gateways agree on the favourite, so that it keeps the parts although this one may not have seen it.
-			unread, extra = whole, 0
-		case keeps && unread > whole:
-			extra = time.Duration(fetchShare*float64(extra)) + fetch*time.Duration(unread-whole)
-			unread, keeper = whole, favourite
+		case i == preferred:
+			// All gateways agree on the preferred endpoint, so it has cached the parts even if this gateway has not
+			// seen it.
+			uncached, extra = minUncached, 0
+		case fetchable && uncached > minUncached:
+			extra = time.Duration(fetchCostShare*float64(extra)) + fetch*time.Duration(uncached-minUncached)
+			uncached, source = minUncached, preferred
 		}
-		e := Expected(c, w, unread, s)
+		e := Expected(c, w, uncached, s)
 		if c.Remote {
-			extra += remoteCost * time.Duration(w.Bytes)
+			extra += remoteByteCost * time.Duration(w.Bytes)
 		}
-		cost := e.Wait + DecodeCost(w, c.Busy) + extra + time.Duration((c.Health.Failures+c.excess(usual))*failureCost*float64(objective))
+		cost := e.Wait + DecodeCost(w, c.Busy) + extra +
+			time.Duration((c.Health.Failures+c.excessFailureRate(baseline))*failureCost*float64(objective))
 		switch {
-		case best.Index < 0 || cost < bestCost-equalTime:
-			equals = 1
-		case cost < bestCost+equalTime:
-			// Reservoir sampling with one draw: each later equal replaces the choice with probability 1/n.
-			equals++
-			draw *= float64(equals)
+		case best.Index < 0 || cost < bestCost-tieThreshold:
+			ties = 1
+		case cost < bestCost+tieThreshold:
+			// Reservoir sampling with one draw: the nth equal candidate replaces the choice with probability 1/n.
+			ties++
+			draw *= float64(ties)
 			replace := draw < 1
 			draw -= float64(int(draw))
 			if !replace {
@@ -146,19 +156,22 @@
 		default:
 			continue
 		}
-		best = Choice{Index: i, Expected: e.Wait, Cost: cost, Unread: unread, Keeper: keeper, Favourite: i == favourite, Full: e.Full}
+		best = Choice{
+			Index: i, Expected: e.Wait, Cost: cost, Unread: uncached, Keeper: source, Favourite: i == preferred, Full: e.Full,
+		}
 		bestCost = cost
 	}
 	return best, best.Index >= 0
 }
 
-// sound reports whether others may fetch from the endpoint: one that fails or is slow would hold them up.
-func (c Candidate) sound() bool {
-	return c.Health.Failures < unsoundFailures && c.Health.Slowdown() <= unsoundSlowdown
+// canServeFetches reports whether other endpoints may fetch from the endpoint; a failing or slow one would delay them.
+func (c Candidate) canServeFetches() bool {
+	return c.Health.Failures < maxSourceFailures && c.Health.Slowdown() <= maxSourceSlowdown
 }
 
-// favourite returns the candidate to which the subject of a prompt, its last shared part, is hashed, or -1.
-func favourite(candidates []Candidate, w Work) int {
+// preferredCandidate returns the index of the candidate that the last shared part of the prompt is hashed to by
+// rendezvous hashing, or -1 if the prompt has no shared part.
+func preferredCandidate(candidates []Candidate, w Work) int {
 	shared := w.Shared()
 	if len(shared) == 0 {
 		return -1
--- a/capacity/choose_test.go
+++ b/capacity/choose_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestSubjectsStay sends requests of the same subjects through two gateways that know nothing of each other: while the
-// engines are idle, each subject goes to one engine.
+// TestSubjectsStay checks that requests with the same shared part go to the same engine while the engines are idle,
+// also through gateways that share no state.
 func TestSubjectsStay(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for subject := range 50 {
@@ -43,52 +43,53 @@
 	}
 }
 
-// TestSubjectSpills fills the engine of a subject: a little backlog does not cost it the subject, a long one does.
+// TestSubjectSpills adds a backlog at the preferred engine of a shared part: with a short one requests still go there,
+// with a long one they go elsewhere.
 func TestSubjectSpills(t *testing.T) {
 	w := plan("subject")
-	favourite, _ := Choose(candidates(5), w, NewSpeed(), 0, time.Second, 0)
+	preferred, _ := Choose(candidates(5), w, NewSpeed(), 0, time.Second, 0)
 	for _, c := range []struct {
 		backlog int64
 		stays   bool
 	}{{2_000, true}, {10_000, true}, {60_000, false}} {
 		all := candidates(5)
-		all[favourite.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{c.backlog}}
+		all[preferred.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{c.backlog}}
 		got, _ := Choose(all, w, NewSpeed(), 0, time.Second, 0)
-		if (got.Index == favourite.Index) != c.stays {
-			t.Errorf("backlog %d: engine %d, favourite %d", c.backlog, got.Index, favourite.Index)
+		if (got.Index == preferred.Index) != c.stays {
+			t.Errorf("backlog %d: engine %d, favourite %d", c.backlog, got.Index, preferred.Index)
 		}
 	}
 }
 
-// TestSubjectFetched fills the engine of a subject: its parts are fetched from there by the engine that takes the request,
-// unless it fails or is slow.
+// TestSubjectFetched adds a long backlog at the preferred engine of a shared part: the engine that serves the request
+// fetches the parts from there, unless the preferred one is failing or slow.
 func TestSubjectFetched(t *testing.T) {
 	const fetch = 255 * time.Nanosecond
 	w := plan("subject")
-	favourite, _ := Choose(candidates(5), w, NewSpeed(), fetch, time.Second, 0)
-	if favourite.Keeper >= 0 || !favourite.Favourite {
-		t.Fatalf("idle: %+v", favourite)
+	preferred, _ := Choose(candidates(5), w, NewSpeed(), fetch, time.Second, 0)
+	if preferred.Keeper >= 0 || !preferred.Favourite {
+		t.Fatalf("idle: %+v", preferred)
 	}
 	for name, c := range map[string]struct {
 		health  Health
 		fetches bool
 	}{"sound": {NewHealth(), true}, "failing": {Health{Factor: 1, Failures: 0.5}, false}, "slow": {Health{Factor: 6}, false}} {
 		all := candidates(5)
-		all[favourite.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{60_000}}
-		all[favourite.Index].Health = c.health
+		all[preferred.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{60_000}}
+		all[preferred.Index].Health = c.health
 		got, _ := Choose(all, w, NewSpeed(), fetch, time.Second, 0)
 		want := Choice{Unread: w.PromptTokens, Keeper: -1}
 		if c.fetches {
-			want = Choice{Unread: 6610, Keeper: favourite.Index}
+			want = Choice{Unread: 6610, Keeper: preferred.Index}
 		}
-		if got.Index == favourite.Index || got.Keeper != want.Keeper || got.Unread != want.Unread {
+		if got.Index == preferred.Index || got.Keeper != want.Keeper || got.Unread != want.Unread {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 }
 
-// TestOwnDomain places requests among idle engines of two failure domains: they stay in their own, until its engines are
-// busier by more than crossing costs.
+// TestOwnDomain checks that requests stay in the gateway's failure domain until the backlog of its engines costs more
+// than crossing to another one.
 func TestOwnDomain(t *testing.T) {
 	w := Work{PromptTokens: 700, OutputTokens: 300, Bytes: 4_000}
 	for _, c := range []struct {
@@ -108,7 +109,7 @@
 	}
 }
 
-// TestSlowAndFailingEngines makes one engine slow, failing, full or busy: requests go elsewhere.
+// TestSlowAndFailingEngines checks that requests avoid an engine that is slow, failing, full or busy.
 func TestSlowAndFailingEngines(t *testing.T) {
 	bad := map[string]func(*Candidate){
 		"slow":        func(c *Candidate) { c.Health.Factor = 6 },
@@ -119,12 +120,12 @@
 		"long queue":  func(c *Candidate) { c.Outstanding.PromptTokens[0] = 50_000 },
 		"all at once": func(c *Candidate) { c.Health = Health{Factor: 3, Failures: 0.2}; c.Busy = 0.5 },
 	}
-	for name, spoil := range bad {
+	for name, degrade := range bad {
 		t.Run(name, func(t *testing.T) {
 			w := Work{PromptTokens: 700, OutputTokens: 300}
 			for i := range 20 {
 				all := candidates(4)
-				spoil(&all[i%4])
+				degrade(&all[i%4])
 				if got, ok := Choose(all, w, NewSpeed(), 0, time.Second, float64(i)/20); !ok || got.Index == i%4 {
 					t.Fatalf("engine %d was chosen", got.Index)
 				}
@@ -133,7 +134,7 @@
 	}
 }
 
-// TestEqualEnginesShare sends many small requests to like engines: the busiest gets at most 1.2 times the mean.
+// TestEqualEnginesShare sends many small requests to equal engines: the busiest receives at most 1.2 times the mean.
 func TestEqualEnginesShare(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const engines, requests = 8, 8000
@@ -149,8 +150,9 @@
 	}
 }
 
-// TestAdmitBounds checks that what is refused surely misses its objective by the estimate, and that a request to come
-// back lies within a third of the time left.
+// TestAdmitBounds checks that no request is refused that is expected within half of its remaining objective, that none
+// is admitted that is expected after its objective (on time) or after its caller has left (late), and that the time to
+// retry is at most a third of the time left.
 func TestAdmitBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(name string, most int64) time.Duration {
@@ -167,10 +169,10 @@
 			t.Fatalf("taken as on time: %v of %v", expected, a.Objective)
 		}
 		if v == TakeLate && expected > a.Left {
-			t.Fatalf("taken although its caller will be gone: %v of %v", expected, a.Left)
+			t.Fatalf("taken although its caller will have left: %v of %v", expected, a.Left)
 		}
 		retry := RetryAfter(expected, a, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-		if retry <= 0 || retry > max(a.Left/3, leastRetryAfter) {
+		if retry <= 0 || retry > max(a.Left/3, minRetryAfter) {
 			t.Fatalf("retry after %v with %v left", retry, a.Left)
 		}
 	})
@@ -184,7 +186,8 @@
 	return w
 }
 
-// TestRanks queues plans at an engine: an urgent request does not wait for them, and one of their own rank does.
+// TestRanks queues low-priority requests at an engine: an urgent request does not wait for them, and one of the same
+// rank does.
 func TestRanks(t *testing.T) {
 	c := candidates(1)[0]
 	c.Outstanding = Outstanding{Requests: 8, Waiting: Backlog{2: 8}, PromptTokens: Backlog{2: 80_000}}
@@ -195,8 +198,8 @@
 	}
 }
 
-// TestSlotsByRank fills the slots of an engine and queues plans behind them: an urgent request waits for the next slot
-// alone, and one of the plans' rank for all of them.
+// TestSlotsByRank fills the slots of an engine and queues low-priority requests: an urgent request waits only for the
+// next slot, and one of the queued requests' rank waits for all of them.
 func TestSlotsByRank(t *testing.T) {
 	c := candidates(1)[0]
 	s := NewSpeed()
@@ -212,8 +215,8 @@
 	}
 }
 
-// TestOvertaken sends urgent requests that take half of the engines' slots and a quarter of their time: a plan waits twice
-// as long for a slot, and a third longer for the engine to read what is before it, and an urgent one no longer.
+// TestOvertaken sends urgent requests that take half of the engines' slots and a quarter of their prefill time. A
+// low-priority request waits twice as long for a slot and a third longer for prefill, and an urgent one no longer.
 func TestOvertaken(t *testing.T) {
 	const gateways, engines, slots, perSecond = 3, 2, 256, 100
 	now := time.Unix(1000, 0)
@@ -243,7 +246,7 @@
 	}
 }
 
-// TestHeld takes the wait before the first piece from the time of a slot.
+// TestHeld checks that the wait before the first chunk does not count towards the time that a slot is held.
 func TestHeld(t *testing.T) {
 	s := NewSpeed()
 	reading := s.Base + 1000*s.Token
@@ -254,7 +257,8 @@
 	}
 }
 
-// TestHold learns how long requests hold their slots: by the length that is expected of their answers if there is one.
+// TestHold checks that the time that requests hold a slot is learned per output token if the expected output length is
+// known, and per request otherwise.
 func TestHold(t *testing.T) {
 	s := NewSpeed()
 	long, short, plain := Work{OutputTokens: 400}, Work{OutputTokens: 20}, Work{}
@@ -273,7 +277,8 @@
 	}
 }
 
-// TestReturned refuses a request whose wait is three times its objective, and takes it when it comes back.
+// TestReturned checks that a request whose wait is three times its objective is refused at first and admitted when it
+// is retried.
 func TestReturned(t *testing.T) {
 	first := Asked{Objective: 800 * time.Millisecond, WholeObjective: 800 * time.Millisecond, Left: 10 * time.Second}
 	again := first
@@ -285,7 +290,8 @@
 	}
 }
 
-// TestCross sends a burst away from a region while others have room, and stops at the room that they told.
+// TestCross forwards a burst to the idle one of two regions until the capacity that it reported is used up, and nothing
+// to a region whose report is stale, that has no endpoints or that costs no less.
 func TestCross(t *testing.T) {
 	const detour = 160 * time.Millisecond
 	w := Work{PromptTokens: 1000, OutputTokens: 300}
@@ -305,7 +311,7 @@
 		last = got.Region
 	}
 	if sent > idle.PromptTokens || last == "idle" {
-		t.Errorf("%d tokens were sent to a region with room for %d", sent, idle.PromptTokens)
+		t.Errorf("%d tokens were sent to a region with capacity for %d", sent, idle.PromptTokens)
 	}
 	for name, room := range map[string]Room{
 		"old":          {Region: "old", Wait: waits(1), PromptTokens: 1 << 40, Endpoints: 9, Age: time.Minute},
@@ -318,7 +324,7 @@
 	}
 }
 
-// TestShares checks that the parts of all holders add up to the whole.
+// TestShares checks that the shares of all holders add up to the whole.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, n := rapid.IntRange(0, 50).Draw(t, "whole"), rapid.IntRange(1, 90).Draw(t, "n")
--- a/capacity/doc.go
+++ b/capacity/doc.go
@@ -1,10 +1,14 @@
-// Package capacity decides which endpoint of a region takes a request, or that none can in time.
+// Package capacity decides which endpoint of a region serves a request, or that none can in time.
 //
-// A view of each endpoint holds what all gateways of the region have outstanding there: every gateway tells the others
-// what it sent and has not seen the end of, so that the sum is the endpoint's load less what is on its way. From it
-// follows the expected time to the first piece of an answer: prompt tokens that wait to be read, divided by the speed
-// at which the service's endpoints were seen to read them. Speeds are learned from answers, for each service and each
-// endpoint.
+// The state of each endpoint holds the work that all gateways of the region have outstanding there. Every gateway
+// reports to the others the requests that it has sent and whose end it has not seen, so the sum is the endpoint's load
+// except for reports in transit. The expected time to the first chunk of a response follows from it: the prompt tokens
+// that wait for prefill, divided by the observed prefill rate of the service's endpoints. Service times are learned
+// from responses, for each service and each endpoint.
 //
-// The decisions are pure: views, time and a drawn number go in. Types that learn are not safe for concurrent use.
+// The decisions are pure functions of the endpoints' state, the time and a random draw. The mutable Window is not safe
+// for concurrent use; the learned values are immutable.
+//
+// In this package, a rank is a priority with 0 the most urgent; uncached tokens are the prompt tokens that an endpoint
+// has to prefill because it has not cached them.
 package capacity
--- a/capacity/outcomes.go
+++ b/capacity/outcomes.go
@@ -6,32 +6,35 @@
 )
 
 const (
-	// outcomeTime is the time constant with which outcomes are forgotten, after which an endpoint that failed is tried again.
-	outcomeTime = 5 * time.Second
-	// outcomePrior is the number of good outcomes that every endpoint is credited with, so that a single failure tells little.
-	outcomePrior = 4
-	// usualFailures is the greatest share of failures that is taken for the nature of the requests, if all endpoints have it.
-	usualFailures = 0.25
-	// failingTolerance is the share of failures beyond that of the best endpoint that chance may bring.
-	failingTolerance = 0.2
-	// FailingShare is the share of failures beyond which an endpoint counts as out of order.
+	// outcomeTimeConstant is the time constant with which outcomes decay, after which an endpoint that failed is tried
+	// again.
+	outcomeTimeConstant = 5 * time.Second
+	// priorSuccesses is the number of successes added to every endpoint's outcomes, so that a single failure has little
+	// weight.
+	priorSuccesses = 4
+	// maxBaselineFailureRate is the greatest share of failures that is attributed to the requests themselves if all
+	// endpoints have it.
+	maxBaselineFailureRate = 0.25
+	// failureRateTolerance is the share of failures above the baseline that is attributed to chance.
+	failureRateTolerance = 0.2
+	// FailingShare is the share of failures above which an endpoint counts as out of order.
 	FailingShare = 0.6
 )
 
-// Outcomes counts how requests ended at an endpoint lately, each less the longer ago it was. It is an immutable value.
+// Outcomes counts the ended and failed requests at an endpoint, with exponential decay. It is an immutable value.
 type Outcomes struct {
-	// Ended and Failed are the counts at a time.
+	// Ended and Failed are the decayed counts at the time At.
 	Ended, Failed float64
 	At            time.Time
 }
 
-// Now returns the outcomes at a time.
+// Now returns the outcomes decayed to now.
 func (o Outcomes) Now(now time.Time) Outcomes {
-	kept := math.Exp(-float64(now.Sub(o.At)) / float64(outcomeTime))
-	return Outcomes{Ended: o.Ended * kept, Failed: o.Failed * kept, At: now}
+	decay := math.Exp(-float64(now.Sub(o.At)) / float64(outcomeTimeConstant))
+	return Outcomes{Ended: o.Ended * decay, Failed: o.Failed * decay, At: now}
 }
 
-// With returns the outcomes after a request ended at a time.
+// With returns the outcomes with a request that ended now.
 func (o Outcomes) With(now time.Time, failed bool) Outcomes {
 	o = o.Now(now)
 	o.Ended++
@@ -41,28 +44,28 @@
 	return o
 }
 
-// Plus returns the sum of the outcomes at a time.
+// Plus returns the sum of the outcomes, decayed to now.
 func (o Outcomes) Plus(now time.Time, other Outcomes) Outcomes {
 	o, other = o.Now(now), other.Now(now)
 	return Outcomes{Ended: o.Ended + other.Ended, Failed: o.Failed + other.Failed, At: now}
 }
 
-// Failing returns the share of requests that fail.
+// Failing returns the share of failed requests, in [0, 1).
 func (o Outcomes) Failing(now time.Time) float64 {
 	o = o.Now(now)
-	return o.Failed / (o.Ended + outcomePrior)
+	return o.Failed / (o.Ended + priorSuccesses)
 }
 
-// usualFailing returns the share of failures that the best of the candidates has, up to what is usual.
-func usualFailing(candidates []Candidate) float64 {
-	usual := usualFailures
+// baselineFailureRate returns the share of failures of the best candidate, at most maxBaselineFailureRate.
+func baselineFailureRate(candidates []Candidate) float64 {
+	baseline := maxBaselineFailureRate
 	for i := range candidates {
-		usual = min(usual, candidates[i].Failing)
+		baseline = min(baseline, candidates[i].Failing)
 	}
-	return usual
+	return baseline
 }
 
-// excess returns the share of failures that speaks against the candidate.
-func (c Candidate) excess(usual float64) float64 {
-	return max(c.Failing-usual-failingTolerance, 0)
+// excessFailureRate returns the share of failures that counts against the candidate.
+func (c Candidate) excessFailureRate(baseline float64) float64 {
+	return max(c.Failing-baseline-failureRateTolerance, 0)
 }
--- a/capacity/outstanding.go
+++ b/capacity/outstanding.go
@@ -1,9 +1,10 @@
 package capacity
 
-// Ranks is the number of ranks of urgency that are told apart; the last one is that of requests that will be late.
+// Ranks is the number of ranks; the last one is that of requests that will be late.
 const Ranks = 4
 
-// Rank returns the rank of a request by its route's priority, zero first, and of one that will be late.
+// Rank returns the rank of a request from its route's priority, of which zero is the most urgent, or the last rank if
+// it will be late.
 func Rank(priority int, late bool) int {
 	if late {
 		return Ranks - 1
@@ -14,7 +15,7 @@
 // Backlog counts prompt tokens or requests by rank.
 type Backlog [Ranks]int64
 
-// Plus returns the sum.
+// Plus returns the sum by rank.
 func (b Backlog) Plus(other Backlog) Backlog {
 	for rank, tokens := range other {
 		b[rank] += tokens
@@ -22,7 +23,7 @@
 	return b
 }
 
-// Minus returns the difference.
+// Minus returns the difference by rank.
 func (b Backlog) Minus(other Backlog) Backlog {
 	for rank, tokens := range other {
 		b[rank] -= tokens
@@ -30,7 +31,7 @@
 	return b
 }
 
-// Before returns what comes before or along with a request of a rank: engines take the more urgent requests first.
+// Before returns the sum over the rank and all more urgent ones, which engines take first.
 func (b Backlog) Before(rank int) int64 {
 	var n int64
 	for _, one := range b[:rank+1] {
@@ -42,14 +43,14 @@
 // All returns the sum over all ranks.
 func (b Backlog) All() int64 { return b.Before(Ranks - 1) }
 
-// Outstanding is what was sent to an endpoint and has not ended.
+// Outstanding is the work that was sent to an endpoint and has not ended.
 type Outstanding struct {
 	Requests int
-	// Waiting requests have not brought their first piece.
+	// Waiting counts the requests without a first chunk yet.
 	Waiting Backlog
-	// PromptTokens are those of unstarted requests that the endpoint has to read.
+	// PromptTokens counts the uncached prompt tokens of waiting requests.
 	PromptTokens Backlog
-	// HeldTokens is the memory that the requests take until they end.
+	// HeldTokens is the endpoint's memory held by the requests until they end, in tokens.
 	HeldTokens int64
 }
 
@@ -61,32 +62,33 @@
 	}
 }
 
-// WithBegun returns what is outstanding after the first piece came of a request with a load.
+// WithBegun returns the outstanding work after the first chunk of a request with that load.
 func (o Outstanding) WithBegun(load Outstanding) Outstanding {
 	o.Waiting, o.PromptTokens = o.Waiting.Minus(load.Waiting), o.PromptTokens.Minus(load.PromptTokens)
 	return o
 }
 
-// Part is a part of a prompt, which endpoints cache.
+// Part is a part of a prompt, the unit of caching at endpoints.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Work is what a request asks of an endpoint.
+// Work describes the work of a request for an endpoint.
 type Work struct {
-	// Parts are the prompt's parts in order; the last one is the request's own.
+	// Parts are the prompt's parts in order; the last one is not shared with other requests.
 	Parts []Part
-	// PromptTokens are all tokens of the prompt, and OutputTokens those expected of the answer.
+	// PromptTokens is the number of tokens of the prompt, and OutputTokens the expected number of the response, or zero
+	// if it is not known.
 	PromptTokens int64
 	OutputTokens int64
-	// Bytes is the size of the request and of its expected answer.
+	// Bytes is the size of the request and its expected response.
 	Bytes int64
-	// Rank is the request's rank of urgency.
+	// Rank is the request's rank.
 	Rank int
 }
 
-// Shared returns the parts that other requests have as well.
+// Shared returns the parts that the prompt may share with other requests.
 func (w Work) Shared() []Part {
 	if len(w.Parts) == 0 {
 		return nil
@@ -94,18 +96,18 @@
 	return w.Parts[:len(w.Parts)-1]
 }
 
-// Unread returns the prompt tokens that an endpoint has to read if it keeps the first n shared parts.
+// Unread returns the number of prompt tokens to prefill at an endpoint that has cached the first n parts.
 func (w Work) Unread(n int) int64 {
-	unread := w.PromptTokens
+	uncached := w.PromptTokens
 	for _, p := range w.Parts[:min(n, len(w.Parts))] {
-		unread -= p.Tokens
+		uncached -= p.Tokens
 	}
-	return max(unread, 0)
+	return max(uncached, 0)
 }
 
-// Load returns the outstanding work of one unstarted request that reads unread tokens.
-func (w Work) Load(unread int64) Outstanding {
-	o := Outstanding{Requests: 1, HeldTokens: unread + w.OutputTokens}
-	o.Waiting[w.Rank], o.PromptTokens[w.Rank] = 1, unread
+// Load returns the outstanding work of one request without a first chunk yet, with that many uncached tokens.
+func (w Work) Load(uncached int64) Outstanding {
+	o := Outstanding{Requests: 1, HeldTokens: uncached + w.OutputTokens}
+	o.Waiting[w.Rank], o.PromptTokens[w.Rank] = 1, uncached
 	return o
 }
--- a/capacity/overtaking.go
+++ b/capacity/overtaking.go
@@ -6,65 +6,66 @@
 )
 
 const (
-	// demandTime is the time constant with which demand is forgotten: long enough to count some tens of requests at one
-	// gateway, and short against the time in which load moves from one region to another.
-	demandTime = 2 * time.Second
-	// mostOvertaken bounds the share of the endpoints' time that more urgent requests are taken to need, as some time is
-	// always left between their bursts.
-	mostOvertaken = 0.9
+	// demandTimeConstant is the time constant with which demand decays. It is long enough to count some tens of
+	// requests at one gateway, and short compared with the time in which load moves between regions.
+	demandTimeConstant = 2 * time.Second
+	// maxOvertakingShare bounds the share of the endpoints' time that more urgent requests are assumed to need, as some
+	// time is always left between their bursts.
+	maxOvertakingShare = 0.9
 )
 
-// Demand is what a gateway sent lately to a service's endpoints, by rank: the slots that it takes and the share of an
-// endpoint's time for which it makes them read. It is an immutable value.
+// Demand is the recent demand of a gateway on a service's endpoints by rank, with exponential decay: the number of
+// slots held and the prefill time in endpoints. It is an immutable value.
 type Demand struct {
-	slots, reading [Ranks]float64
+	slots, prefill [Ranks]float64
 	at             time.Time
 }
 
-// decayed returns the demand at a time.
-func (d Demand) decayed(now time.Time) Demand {
-	kept := math.Exp(-float64(now.Sub(d.at)) / float64(demandTime))
+// decayTo returns the demand decayed to now.
+func (d Demand) decayTo(now time.Time) Demand {
+	decay := math.Exp(-float64(now.Sub(d.at)) / float64(demandTimeConstant))
 	for rank := range Ranks {
-		d.slots[rank] *= kept
-		d.reading[rank] *= kept
+		d.slots[rank] *= decay
+		d.prefill[rank] *= decay
 	}
 	d.at = now
 	return d
 }
 
-// With returns the demand with a request of a rank that is sent at a time and makes an endpoint read so many tokens.
-func (d Demand) With(now time.Time, rank int, w Work, unread int64, s Speed) Demand {
-	d = d.decayed(now)
-	d.slots[rank] += s.Hold(w, unread).Seconds() / demandTime.Seconds()
-	d.reading[rank] += (s.Token * time.Duration(unread)).Seconds() / demandTime.Seconds()
+// With returns the demand with a request of the rank that is sent now, with that many uncached tokens.
+func (d Demand) With(now time.Time, rank int, w Work, uncached int64, s Speed) Demand {
+	d = d.decayTo(now)
+	d.slots[rank] += s.Hold(w, uncached).Seconds() / demandTimeConstant.Seconds()
+	d.prefill[rank] += (s.Token * time.Duration(uncached)).Seconds() / demandTimeConstant.Seconds()
 	return d
 }
 
-// Overtaking is the share of endpoints' time that more urgent requests take, by rank: what waits longer is overtaken by
-// those that come later.
+// Overtaking is the share of the endpoints' slots and prefill time that more urgent requests take, by rank. A waiting
+// request is overtaken by more urgent ones that arrive later.
 type Overtaking struct {
 	Slots, Reading [Ranks]float64
 }
 
-// Overtaking returns the shares if each of n gateways asks for the same of the endpoints, which have so many slots in all.
+// Overtaking returns the shares under the assumption that each of the gateways has the same demand; slots is the total
+// of all endpoints.
 func (d Demand) Overtaking(now time.Time, gateways, endpoints, slots int) Overtaking {
-	d = d.decayed(now)
+	d = d.decayTo(now)
 	var o Overtaking
-	var taken, read float64
+	var slotShare, prefillShare float64
 	for rank := range Ranks {
-		o.Slots[rank], o.Reading[rank] = min(taken, mostOvertaken), min(read, mostOvertaken)
+		o.Slots[rank], o.Reading[rank] = min(slotShare, maxOvertakingShare), min(prefillShare, maxOvertakingShare)
 		if slots > 0 {
-			taken += d.slots[rank] * float64(gateways) / float64(slots)
+			slotShare += d.slots[rank] * float64(gateways) / float64(slots)
 		}
 		if endpoints > 0 {
-			read += d.reading[rank] * float64(gateways) / float64(endpoints)
+			prefillShare += d.prefill[rank] * float64(gateways) / float64(endpoints)
 		}
 	}
 	return o
 }
 
-// stretched returns how long a wait becomes of whose time a share goes to others (Cobham, "Priority Assignment in
-// Waiting Line Problems", 1954).
-func stretched(d time.Duration, overtaken float64) time.Duration {
+// inflateWait returns the length of a wait d if the share overtaken of the time goes to more urgent requests (Cobham,
+// "Priority Assignment in Waiting Line Problems", 1954).
+func inflateWait(d time.Duration, overtaken float64) time.Duration {
 	return time.Duration(float64(d) / (1 - overtaken))
 }
--- a/capacity/regions.go
+++ b/capacity/regions.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Room is what the endpoints of a service in another region have left to give, as told by a gateway there.
+// Room is the spare capacity of a service's endpoints in another region, as reported by a gateway there.
 type Room struct {
 	Region string
-	// Wait is the expected time to the first piece of a small request, by rank.
+	// Wait is the expected time to the first chunk of a small request, by rank.
 	Wait [Ranks]time.Duration
-	// PromptTokens can be taken before the wait reaches the objective.
+	// PromptTokens is the number of prompt tokens that can be sent before the wait reaches the objective.
 	PromptTokens int64
 	Endpoints    int
-	// Busy is the share of their time for which the endpoints read prompts.
+	// Busy is the share of time that the endpoints spend on prefill.
 	Busy float64
-	// Age is the time since it was told, and Sent the prompt tokens that were sent there since.
+	// Age is the time since the report, and Sent the prompt tokens that were sent to the region since.
 	Age  time.Duration
 	Sent int64
 }
 
-// maxRoomAge is the age after which what a region told is no longer believed: it is told five times a second, so that
-// the way to the region is cut or slow.
-const maxRoomAge = 1200 * time.Millisecond
+// maxCapacityAge is the age above which a report is stale. Reports are sent five times a second, so an older one means
+// that the connection to the region is cut or slow.
+const maxCapacityAge = 1200 * time.Millisecond
 
-// Current reports whether what the region told is still believed.
-func (r Room) Current() bool { return r.Age <= maxRoomAge }
+// Current reports whether the report is fresh.
+func (r Room) Current() bool { return r.Age <= maxCapacityAge }
 
-// Crossing is the region to which a request may go.
+// Crossing is the region to which a request may be forwarded.
 type Crossing struct {
 	Region string
-	// Expected is the time to the first piece, Late the same behind all that can be on time, and Cost the first with the
-	// cost of a later end.
+	// Expected is the expected time to the first chunk, Late the same with a rank below all requests that can be on
+	// time, and Cost is Expected plus the cost of slower decoding.
 	Expected time.Duration
 	Late     time.Duration
 	Cost     time.Duration
 }
 
-// Cross returns the region that serves a request at the least cost, if that is less than here. Crossing takes detour in
-// both directions together. What was sent there since it told its room is added to its load.
+// Cross returns the region that serves a request at the least cost, if that is less than the local cost here. detour is
+// the round-trip time to another region. The tokens sent to a region since its report are added to its load.
 func Cross(rooms []Room, w Work, s Speed, detour, here time.Duration) (best Crossing, ok bool) {
 	for _, r := range rooms {
 		if !r.Current() || r.Endpoints == 0 || r.Sent+w.PromptTokens > r.PromptTokens {
--- a/capacity/speed.go
+++ b/capacity/speed.go
@@ -3,127 +3,131 @@
 import "time"
 
 const (
-	// Learned values move by this share towards each observation.
+	// speedGain is the smoothing factor of learned times.
 	speedGain = 0.05
-	// factorGain is the same for an endpoint's own factor, which must follow a slowdown within seconds.
-	factorGain = 0.15
-	// initialTokenTime is the time to read one prompt token before any was observed; current engines read about 100
-	// tokens a millisecond and decode between chunks.
-	initialTokenTime = 14 * time.Microsecond
-	// initialBaseTime is the time to a first piece without any queue before one was observed.
+	// healthGain is the smoothing factor of an endpoint's health, which must follow a slowdown within seconds.
+	healthGain = 0.15
+	// initialPrefillTokenTime is the prefill time per token before the first observation; current engines prefill about
+	// 100 tokens per millisecond and decode between chunks.
+	initialPrefillTokenTime = 14 * time.Microsecond
+	// initialBaseTime is the time to the first chunk without a queue before the first observation.
 	initialBaseTime = 60 * time.Millisecond
-	// initialPace is the time to make one token of an answer before any was observed: a step of a half full batch, with some
-	// prompts to read in between.
-	initialPace = 8 * time.Millisecond
-	// ordinaryFactor is the factor up to which an endpoint counts as like the others: single times vary that much.
-	ordinaryFactor = 1.5
-	leastFactor    = 0.5
-	greatestFactor = 8.0
-	// leastTokensLearned is the number of unread tokens below which an observation tells of the base alone.
-	leastTokensLearned = 4000
+	// initialOutputTokenTime is the time per output token before the first observation: a step of a half full batch,
+	// with some prefill in between.
+	initialOutputTokenTime = 8 * time.Millisecond
+	// maxNormalFactor is the factor up to which an endpoint counts as no slower than the others, as single observations
+	// vary that much.
+	maxNormalFactor = 1.5
+	minFactor       = 0.5
+	maxFactor       = 8.0
+	// minPrefillTokensLearned is the number of uncached tokens below which an observation updates only the base time.
+	minPrefillTokensLearned = 4000
 )
 
-// Speed is what was learned of a service's endpoints: an immutable value.
+// Speed holds the learned service times of a service's endpoints. It is an immutable value.
 type Speed struct {
-	// Base is the time to the first piece at an idle endpoint, and Token that of one more unread prompt token.
+	// Base is the time to the first chunk at an idle endpoint, and Token the additional time per uncached prompt token.
 	Base  time.Duration
 	Token time.Duration
-	// Pace is the time for which a request holds its slot for each token that is expected of its answer.
+	// Pace is the time that a request holds its slot per expected output token.
 	Pace time.Duration
-	// Whole is the time for which a usual request holds its slot, and seen says that it was learned from one.
-	Whole time.Duration
-	seen  bool
-	// Overtaking is what more urgent requests take of the endpoints' time now.
+	// Whole is the average time that a request holds its slot; slotTimeLearned is true once it has been observed.
+	Whole           time.Duration
+	slotTimeLearned bool
+	// Overtaking is the current share of the endpoints' time that more urgent requests take.
 	Overtaking Overtaking
 }
 
-// NewSpeed returns the speed that is assumed before anything was observed.
+// NewSpeed returns the service times assumed before the first observation.
 func NewSpeed() Speed {
-	return Speed{Base: initialBaseTime, Token: initialTokenTime, Pace: initialPace, Whole: initialBaseTime}
+	return Speed{
+		Base: initialBaseTime, Token: initialPrefillTokenTime, Pace: initialOutputTokenTime, Whole: initialBaseTime,
+	}
 }
 
-// toward returns a learned value after an observation.
-func toward(from, to time.Duration) time.Duration {
+// smooth returns the moving average from after the observation to.
+func smooth(from, to time.Duration) time.Duration {
 	return from + time.Duration(speedGain*float64(to-from))
 }
 
-// WithFirst returns the speed after a first piece came, with the unread tokens that were before and in the request.
-func (s Speed) WithFirst(unread int64, took time.Duration) Speed {
-	if unread < leastTokensLearned {
-		expected := s.Token * time.Duration(unread)
-		s.Base = max(toward(s.Base, took-expected), time.Millisecond)
+// WithFirst returns the speed after a first chunk arrived; uncached counts the tokens of the request and of the backlog
+// before it.
+func (s Speed) WithFirst(uncached int64, took time.Duration) Speed {
+	if uncached < minPrefillTokensLearned {
+		expected := s.Token * time.Duration(uncached)
+		s.Base = max(smooth(s.Base, took-expected), time.Millisecond)
 		return s
 	}
-	s.Token = max(toward(s.Token, (took-s.Base)/time.Duration(unread)), time.Microsecond)
+	s.Token = max(smooth(s.Token, (took-s.Base)/time.Duration(uncached)), time.Microsecond)
 	return s
 }
 
-// Hold returns for how long a request will hold its slot that makes an endpoint read so many tokens.
-func (s Speed) Hold(w Work, unread int64) time.Duration {
+// Hold returns the expected time that a request with that many uncached tokens holds its slot.
+func (s Speed) Hold(w Work, uncached int64) time.Duration {
 	if w.OutputTokens == 0 {
 		return s.Whole
 	}
-	return s.Token*time.Duration(unread) + s.Pace*time.Duration(w.OutputTokens)
+	return s.Token*time.Duration(uncached) + s.Pace*time.Duration(w.OutputTokens)
 }
 
-// WithSent returns the speed after a request was sent whose answer's length is expected.
-func (s Speed) WithSent(w Work, unread int64) Speed {
+// WithSent returns the speed after a request was sent. It changes only if the output length of the request is known.
+func (s Speed) WithSent(w Work, uncached int64) Speed {
 	if w.OutputTokens > 0 {
-		return s.withUsual(s.Hold(w, unread))
+		return s.withSlotTime(s.Hold(w, uncached))
 	}
 	return s
 }
 
-// WithWhole returns the speed after a whole answer, whose request held its slot for a time.
-func (s Speed) WithWhole(w Work, unread int64, held time.Duration) Speed {
+// WithWhole returns the speed after a response has completed; held is the time that the request held its slot.
+func (s Speed) WithWhole(w Work, uncached int64, held time.Duration) Speed {
 	if w.OutputTokens == 0 {
-		return s.withUsual(held)
+		return s.withSlotTime(held)
 	}
-	made := max(held-s.Token*time.Duration(unread), 0) / time.Duration(w.OutputTokens)
-	s.Pace = max(toward(s.Pace, made), time.Millisecond)
+	made := max(held-s.Token*time.Duration(uncached), 0) / time.Duration(w.OutputTokens)
+	s.Pace = max(smooth(s.Pace, made), time.Millisecond)
 	return s
 }
 
-// withUsual returns the speed after one more time of a slot was seen.
-func (s Speed) withUsual(held time.Duration) Speed {
-	if !s.seen {
+// withSlotTime returns the speed with one more observation of Whole; the first one replaces the initial value.
+func (s Speed) withSlotTime(held time.Duration) Speed {
+	if !s.slotTimeLearned {
 		s.Whole = held
 	}
-	s.Whole, s.seen = toward(s.Whole, held), true
+	s.Whole, s.slotTimeLearned = smooth(s.Whole, held), true
 	return s
 }
 
-// WithOvertaking returns the speed with what more urgent requests take now.
+// WithOvertaking returns the speed with the given overtaking shares.
 func (s Speed) WithOvertaking(o Overtaking) Speed {
 	s.Overtaking = o
 	return s
 }
 
-// Held returns for how long a request held its slot that took so long in all, with the first piece after first and
-// unread tokens of its own: what the first piece took beyond their reading was spent waiting.
-func (s Speed) Held(took, first time.Duration, unread int64) time.Duration {
-	waited := first - s.Base - s.Token*time.Duration(unread)
+// Held returns the time that a request held its slot. took is its total time, first its time to the first chunk, and
+// uncached its own uncached tokens; the part of first beyond their prefill was spent in the queue.
+func (s Speed) Held(took, first time.Duration, uncached int64) time.Duration {
+	waited := first - s.Base - s.Token*time.Duration(uncached)
 	return took - max(waited, 0)
 }
 
-// Health is what was learned of one endpoint: an immutable value.
+// Health holds the learned slowdown and failures of one endpoint. It is an immutable value.
 type Health struct {
-	// Factor is the ratio of observed to expected times.
+	// Factor is the average ratio of observed to expected times.
 	Factor float64
-	// Failures is the recent share of requests that failed.
+	// Failures is the recent share of failed requests.
 	Failures float64
 }
 
-// NewHealth returns the health of an endpoint of which nothing is known.
+// NewHealth returns the health assumed before the first observation.
 func NewHealth() Health { return Health{Factor: 1} }
 
-// Slowdown returns how many times slower than the others the endpoint is, at least one.
-func (h Health) Slowdown() float64 { return max(1, h.Factor/ordinaryFactor) }
+// Slowdown returns how many times slower the endpoint is than the others, at least 1.
+func (h Health) Slowdown() float64 { return max(1, h.Factor/maxNormalFactor) }
 
-// WithFirst returns the health after a first piece was observed.
+// WithFirst returns the health after a first chunk was observed.
 func (h Health) WithFirst(expected, took time.Duration) Health {
-	ratio := min(max(float64(took)/float64(max(expected, time.Millisecond)), leastFactor), greatestFactor)
-	h.Factor += factorGain * (ratio - h.Factor)
+	ratio := min(max(float64(took)/float64(max(expected, time.Millisecond)), minFactor), maxFactor)
+	h.Factor += healthGain * (ratio - h.Factor)
 	return h
 }
 
@@ -133,6 +137,6 @@
 	if failed {
 		observed = 1
 	}
-	h.Failures += factorGain * (observed - h.Failures)
+	h.Failures += healthGain * (observed - h.Failures)
 	return h
 }
--- a/capacity/window.go
+++ b/capacity/window.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Window counts events in a sliding span of time; its zero value is not ready for use.
+// Window counts events in a sliding time window; use NewWindow to create one.
 type Window struct {
 	span  time.Duration
 	times []time.Time
 }
 
-// NewWindow returns an empty window of a span.
+// NewWindow returns an empty window of the given length.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
-// Count returns the number of events in the span before now.
+// Count returns the number of events in the window that ends now.
 func (w *Window) Count(now time.Time) int {
 	i := 0
 	for i < len(w.times) && now.Sub(w.times[i]) >= w.span {
@@ -24,8 +24,8 @@
 // Add counts an event.
 func (w *Window) Add(now time.Time) { w.times = append(w.times, now) }
 
-// Share returns the part of a whole number that falls to one of n holders, which is the rank-th in an order that all
-// holders agree on; the parts add up to the whole.
+// Share returns the share of a whole number that falls to the holder with the given rank, from 0 in an order that all n
+// holders agree on. The shares add up to the whole; if n is not positive, Share returns the whole.
 func Share(whole, n, rank int) int {
 	if n <= 0 {
 		return whole
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -9,39 +9,43 @@
 	"arbutusreel/membership"
 )
 
-// Candidate is what a chooser knows of one endpoint.
+// Candidate is the known state of one endpoint.
 type Candidate struct {
 	endpoint membership.Endpoint
 	id       uint32
-	// lost is the number of cache events that were lost in gaps.
-	lost      uint32
+	// lostEvents is the number of cache events lost in sequence gaps.
+	lostEvents uint32
+	// nextEvent is the sequence number of the next cache event expected.
 	nextEvent int64
-	tripped   bool
-	seen      uint64
-	load      load
-	slow      SlowStart
-	// pool is the endpoint's cache as far as own requests reserve it.
+	// tripped is true while the endpoint's circuit breaker is open.
+	tripped bool
+	// lastObservation is the number of the last call of Observe that listed the endpoint.
+	lastObservation uint64
+	load            load
+	slowStart       SlowStart
+	// pool is the endpoint's cache, with the reservations of own requests.
 	pool admission.Pool
-	// hold is the mean time of a request at the endpoint, in seconds; zero if none has ended.
-	hold float64
-	// own is the number of own requests outstanding.
-	own int
+	// serviceTime is the moving average of the time from the start to the end of a request, in seconds; zero if none
+	// has ended.
+	serviceTime float64
+	// ownRequests is the number of own requests outstanding.
+	ownRequests int
 }
 
-// Endpoint returns the endpoint as it last announced itself.
+// Endpoint returns the endpoint's last announcement.
 func (c *Candidate) Endpoint() membership.Endpoint { return c.endpoint }
 
 // Name returns the endpoint's name.
 func (c *Candidate) Name() string { return c.endpoint.Name }
 
 // Own returns the number of the chooser's own requests outstanding at the endpoint.
-func (c *Candidate) Own() int { return c.own }
+func (c *Candidate) Own() int { return c.ownRequests }
 
-// open reports whether the endpoint may get work.
-func (c *Candidate) open() bool { return !c.endpoint.Leaving && !c.tripped }
+// available reports whether the endpoint may receive new requests.
+func (c *Candidate) available() bool { return !c.endpoint.Leaving && !c.tripped }
 
-// holds reports whether the endpoint serves the name; an adapter needs its model beside it.
-func (c *Candidate) holds(name string) bool {
+// servesModel reports whether the endpoint serves the model or adapter; an adapter also needs its base model.
+func (c *Candidate) servesModel(name string) bool {
 	if !slices.Contains(c.endpoint.Models, name) {
 		return false
 	}
@@ -51,64 +55,67 @@
 
 func (c *Candidate) slots() float64 { return float64(max(c.endpoint.Slots, 1)) }
 
-// room reports whether a request with that many uncached prompt tokens and that reservation could start at once; the
-// requests of other instances are taken to reserve as much as own ones.
-func (c *Candidate) room(now time.Duration, t *table, tokens, reserve int) bool {
-	outstanding := c.load.outstanding(now, c.own, t.mean)
-	if outstanding > c.slots()-slotShare && !c.underShare(outstanding, t.instances) {
+// hasCapacity reports whether a request with that many uncached prompt tokens and that reservation could start at once.
+// Requests of other instances are assumed to reserve as much as own ones on average.
+func (c *Candidate) hasCapacity(now time.Duration, t *table, tokens, reserve int) bool {
+	outstanding := c.load.outstanding(now, c.ownRequests, t.meanOthers)
+	if outstanding > c.slots()-minFreeSlots && !c.belowFairShare(outstanding, t.instances) {
 		return false
 	}
-	if !c.slow.Room(tokens) {
+	if !c.slowStart.Room(tokens) {
 		return false
 	}
-	others := (outstanding - float64(c.own)) * t.meanReserve
+	others := (outstanding - float64(c.ownRequests)) * t.meanReservation
 	return c.pool.Room(reserve + int(others))
 }
 
-// underShare reports whether the instance has less than its share of a full endpoint. It may then wait in the endpoint's
-// own queue, as the instances that hold the slots take each slot again as it is free.
-func (c *Candidate) underShare(outstanding float64, instances int) bool {
-	return instances > 1 && float64(c.own) < c.slots()/float64(instances) && outstanding < c.slots()*maxFull
+// belowFairShare reports whether the instance has less than its share of a full endpoint. It may then wait in the
+// endpoint's own queue, because the instances that hold the slots take each slot again as soon as it is free.
+func (c *Candidate) belowFairShare(outstanding float64, instances int) bool {
+	return instances > 1 && float64(c.ownRequests) < c.slots()/float64(instances) &&
+		outstanding < c.slots()*maxRequestsPerSlot
 }
 
-// observe takes a newer announcement of the endpoint.
+// observe applies a newer announcement of the endpoint.
 func (c *Candidate) observe(now, reported time.Duration, e membership.Endpoint, x *index) {
 	c.endpoint = e
-	c.load.report(reported, float64(e.Load.Running+e.Load.Queued), float64(e.Load.QueuedTokens))
+	c.load.setReport(reported, float64(e.Load.Running+e.Load.Queued), float64(e.Load.QueuedTokens))
 	c.pool.SetCapacity(e.CacheTokens)
-	c.learn(now, e, x)
+	c.applyCacheEvents(now, e, x)
 }
 
-// learn enters the cache events into the index; events that were lost make what is known of the endpoint uncertain.
-func (c *Candidate) learn(now time.Duration, e membership.Endpoint, x *index) {
+// applyCacheEvents enters the cache events into the index. Lost events lower the probability that prefixes recorded
+// before are still cached.
+func (c *Candidate) applyCacheEvents(now time.Duration, e membership.Endpoint, x *index) {
 	if len(e.CacheEvents) == 0 && e.CacheSequence <= c.nextEvent {
 		return
 	}
 	if e.CacheSequence > c.nextEvent {
-		c.lost += uint32(min(e.CacheSequence-c.nextEvent, maxLost))
+		c.lostEvents += uint32(min(e.CacheSequence-c.nextEvent, maxLostEvents))
 	}
 	for i, event := range e.CacheEvents {
 		if e.CacheSequence+int64(i) < c.nextEvent {
 			continue
 		}
 		if event.Dropped {
-			x.drop(event.PrefixHash, c.id)
+			x.remove(event.PrefixHash, c.id)
 			continue
 		}
-		x.put(event.PrefixHash, c.holder(now, true))
+		x.put(event.PrefixHash, c.asHolder(now, true))
 	}
 	c.nextEvent = max(c.nextEvent, e.CacheSequence+int64(len(e.CacheEvents)))
 }
 
-func (c *Candidate) holder(now time.Duration, sure bool) holder {
-	return holder{id: c.id, at: uint32(now.Milliseconds()), lost: c.lost, sure: sure}
+// asHolder returns the endpoint as a holder of a prefix used now.
+func (c *Candidate) asHolder(now time.Duration, confirmed bool) holder {
+	return holder{id: c.id, lastUsedMillis: uint32(now.Milliseconds()), lostEvents: c.lostEvents, confirmed: confirmed}
 }
 
-// ended takes the time that a request was at the endpoint into the mean.
-func (c *Candidate) ended(seconds float64) {
-	if c.hold == 0 {
-		c.hold = seconds
+// observeServiceTime adds the service time of an ended request to the moving average.
+func (c *Candidate) observeServiceTime(seconds float64) {
+	if c.serviceTime == 0 {
+		c.serviceTime = seconds
 		return
 	}
-	c.hold += holdShare * (seconds - c.hold)
+	c.serviceTime += smoothingFactor * (seconds - c.serviceTime)
 }
--- a/routing/chooser_test.go
+++ b/routing/chooser_test.go
@@ -61,7 +61,7 @@
 		t.Error("an excluded endpoint was chosen")
 	}
 	c.SetTripped("engine-001", false)
-	if d, ok := c.Choose(origin, q); !ok || d.Candidate.Name() != "engine-001" || !d.Candidate.slow.Active() {
+	if d, ok := c.Choose(origin, q); !ok || d.Candidate.Name() != "engine-001" || !d.Candidate.slowStart.Active() {
 		t.Error("an endpoint whose breaker closed does not return with a slow start")
 	}
 }
@@ -72,18 +72,18 @@
 	d, _ := c.Choose(at(time.Second), q)
 	ticket := c.Start(at(time.Second), d, q)
 	candidate := c.byName["engine-000"]
-	if got := candidate.load.outstanding(at(time.Second).Sub(origin), candidate.own, 0); got != 1 {
+	if got := candidate.load.outstanding(at(time.Second).Sub(origin), candidate.ownRequests, 0); got != 1 {
 		t.Errorf("%v outstanding after one own dispatch", got)
 	}
 	e := engine(0, 1)
 	e.Sequence, e.Load.At = 2, at(2*time.Second)
 	c.Observe(at(3*time.Second), []membership.Endpoint{e})
-	if got := candidate.load.outstanding(2*time.Second, candidate.own, 0); got != 1 {
+	if got := candidate.load.outstanding(2*time.Second, candidate.ownRequests, 0); got != 1 {
 		t.Errorf("%v outstanding after a report that holds the dispatch", got)
 	}
 	c.Done(at(3*time.Second), ticket, true)
 	c.Done(at(3*time.Second), ticket, true)
-	if got := candidate.load.outstanding(2*time.Second, candidate.own, 0); got != 0 {
+	if got := candidate.load.outstanding(2*time.Second, candidate.ownRequests, 0); got != 0 {
 		t.Errorf("%v outstanding after the request ended", got)
 	}
 }
@@ -108,7 +108,7 @@
 		}
 	})
 	t.Run("gap makes uncertain", func(t *testing.T) {
-		list[7].Sequence, list[7].CacheSequence, list[7].CacheEvents = 2, 8+lostHalf, nil
+		list[7].Sequence, list[7].CacheSequence, list[7].CacheEvents = 2, 8+lostEventsHalfLife, nil
 		c.Observe(origin, list)
 		gap, _ := c.Choose(origin, q)
 		if gap.Terms.Cached != 3*BlockTokens/2 {
@@ -126,7 +126,7 @@
 		d, _ := c.Choose(origin, q)
 		c.FirstToken(origin, c.Start(origin, d, q))
 		again, _ := c.Choose(origin, q)
-		if again.Candidate != d.Candidate || again.Terms.Cached != 4*BlockTokens*ownCertainty {
+		if again.Candidate != d.Candidate || again.Terms.Cached != 4*BlockTokens*dispatchedPrefixProbability {
 			t.Errorf("chose %q with %v cached tokens", again.Candidate.Name(), again.Terms.Cached)
 		}
 	})
@@ -160,20 +160,21 @@
 	}
 }
 
-// TestShareOfFullEndpoint checks that an instance may wait at an endpoint that others have filled, up to its share.
+// TestShareOfFullEndpoint checks that an instance may queue at an endpoint that other instances have filled, up to its
+// fair share.
 func TestShareOfFullEndpoint(t *testing.T) {
 	c := newChooser([]membership.Endpoint{engine(0, 8)})
 	q := query()
 	q.PromptTokens = 1
 	if d, _ := c.Choose(origin, q); d.Room {
-		t.Error("a full endpoint has room for the only instance")
+		t.Error("a full endpoint has capacity for the only instance")
 	}
 	c.SetInstances(4)
 	c.Observe(origin, []membership.Endpoint{engine(0, 8)})
 	for sent := range 3 {
 		d, _ := c.Choose(origin, q)
 		if want := sent < 2; d.Room != want {
-			t.Fatalf("room %v for an instance that has %d of its share of 2", d.Room, sent)
+			t.Fatalf("capacity %v for an instance that has %d of its share of 2", d.Room, sent)
 		}
 		c.Start(origin, d, q)
 	}
@@ -193,12 +194,13 @@
 	}
 	for name, n := range chosen {
 		if n > 100 {
-			t.Errorf("%d of 200 choosers with one view chose %q", n, name)
+			t.Errorf("%d of 200 choosers with the same reports chose %q", n, name)
 		}
 	}
 }
 
-// TestLoadEqualsCount checks the estimate against a plain count of own requests under random reports and ends.
+// TestLoadEqualsCount checks the load estimate against a plain count of own requests, with reports and ends of requests
+// at random times.
 func TestLoadEqualsCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newChooser(engines(1))
@@ -225,10 +227,10 @@
 				c.Observe(at(now), []membership.Endpoint{e})
 			}
 			candidate := c.byName["engine-000"]
-			if candidate.own != len(open) {
-				t.Fatalf("%d own requests counted of %d", candidate.own, len(open))
+			if candidate.ownRequests != len(open) {
+				t.Fatalf("%d own requests counted of %d", candidate.ownRequests, len(open))
 			}
-			if got := candidate.load.outstanding(now, candidate.own, 0); got != float64(len(open)) {
+			if got := candidate.load.outstanding(now, candidate.ownRequests, 0); got != float64(len(open)) {
 				t.Fatalf("%v requests estimated of %d", got, len(open))
 			}
 		}
@@ -259,8 +261,9 @@
 	}
 }
 
-// TestOthersFollowBurst sends a burst through one of three instances between two reports: the others are expected to have
-// sent as much, as they had before, so that there is no room when three times the own requests fill the slots.
+// TestOthersFollowBurst sends a burst through one of three instances between two reports. The other instances are
+// expected to have sent as many requests each, as before the burst, so no capacity is left once three times the own
+// requests fill the slots.
 func TestOthersFollowBurst(t *testing.T) {
 	c := New(Expected{}, origin, rand.NewPCG(1, 1))
 	c.SetInstances(3)
@@ -285,6 +288,6 @@
 		t.Errorf("%v requests are expected after 2 of 6 and a burst of 4 own ones", got)
 	}
 	if d, _ := c.Choose(at(time.Second), q); d.Room {
-		t.Errorf("%q is expected to have room", d.Candidate.Name())
+		t.Errorf("%q is expected to have capacity", d.Candidate.Name())
 	}
 }
--- a/routing/index.go
+++ b/routing/index.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// holder is an endpoint that probably holds a prefix in its cache.
+// holder is an endpoint that probably has a prefix in its cache.
 type holder struct {
 	id uint32
-	// at is when the prefix was last known to be used, in milliseconds of the chooser's clock, and lost the number of
-	// the endpoint's cache events that were lost before.
-	at   uint32
-	lost uint32
-	sure bool
+	// lastUsedMillis is the last known use of the prefix, in milliseconds since the chooser's origin.
+	lastUsedMillis uint32
+	// lostEvents is the number of the endpoint's cache events that had been lost by then.
+	lostEvents uint32
+	// confirmed is true if the endpoint reported the prefix, and false if it is inferred from a request sent there.
+	confirmed bool
 }
 
 // holders are the endpoints that probably hold one prefix.
 type holders struct {
 	n    uint8
-	list [holdersPerPrefix]holder
+	list [maxHoldersPerPrefix]holder
 }
 
-// put adds or renews a holder, in place of the oldest if there is no room.
+// put adds or updates a holder, and replaces the least recently used one if the list is full.
 func (s *holders) put(h holder) {
 	oldest := 0
 	for i := range int(s.n) {
@@ -26,11 +27,11 @@
 			s.list[i] = h
 			return
 		}
-		if s.list[i].at < s.list[oldest].at {
+		if s.list[i].lastUsedMillis < s.list[oldest].lastUsedMillis {
 			oldest = i
 		}
 	}
-	if s.n < holdersPerPrefix {
+	if s.n < maxHoldersPerPrefix {
 		s.list[s.n] = h
 		s.n++
 		return
@@ -38,7 +39,7 @@
 	s.list[oldest] = h
 }
 
-func (s *holders) drop(id uint32) {
+func (s *holders) remove(id uint32) {
 	for i := range int(s.n) {
 		if s.list[i].id == id {
 			s.n--
@@ -48,52 +49,53 @@
 	}
 }
 
-// index maps prefixes to their probable holders; it forgets in two ages, so that its size is bounded.
+// index maps prefix hashes to their probable holders. It keeps two generations and discards the older one when the
+// current one is full, which bounds its size.
 type index struct {
-	young map[uint64]holders
-	old   map[uint64]holders
+	current  map[uint64]holders
+	previous map[uint64]holders
 }
 
 func newIndex() index {
-	return index{young: map[uint64]holders{}}
+	return index{current: map[uint64]holders{}}
 }
 
 func (x *index) get(hash uint64) (holders, bool) {
-	s, ok := x.young[hash]
+	s, ok := x.current[hash]
 	if !ok {
-		s, ok = x.old[hash]
+		s, ok = x.previous[hash]
 	}
 	return s, ok && s.n > 0
 }
 
 func (x *index) set(hash uint64, s holders) {
-	if len(x.young) >= prefixesPerAge {
-		x.old = x.young
-		x.young = make(map[uint64]holders, prefixesPerAge)
+	if len(x.current) >= prefixesPerGeneration {
+		x.previous = x.current
+		x.current = make(map[uint64]holders, prefixesPerGeneration)
 	}
-	x.young[hash] = s
+	x.current[hash] = s
 }
 
-// put notes that an endpoint holds the prefix.
+// put records that an endpoint holds the prefix.
 func (x *index) put(hash uint64, h holder) {
 	s, _ := x.get(hash)
 	s.put(h)
 	x.set(hash, s)
 }
 
-// drop notes that an endpoint no longer holds the prefix.
-func (x *index) drop(hash uint64, id uint32) {
+// remove records that an endpoint no longer holds the prefix.
+func (x *index) remove(hash uint64, id uint32) {
 	s, ok := x.get(hash)
 	if !ok {
 		return
 	}
-	s.drop(id)
+	s.remove(id)
 	x.set(hash, s)
 }
 
-// longest returns the number of blocks of the longest prefix with a holder. A holder of a prefix mostly holds each
-// shorter one, so that bisection finds it.
-func (x *index) longest(prefixes []uint64) int {
+// longestPrefix returns the number of blocks of the longest prefix with a holder. It bisects, because a holder of a
+// prefix nearly always holds every shorter one.
+func (x *index) longestPrefix(prefixes []uint64) int {
 	low, high := 0, len(prefixes)
 	for low < high {
 		middle := (low + high + 1) / 2
@@ -106,12 +108,13 @@
 	return low
 }
 
-// certainty returns the probability that a prefix is still held by an endpoint of which lost events are missing.
-func (h holder) certainty(now time.Duration, lost uint32) float64 {
-	age := max(now-time.Duration(h.at)*time.Millisecond, 0)
+// probability returns the probability that the endpoint still holds the prefix; lost is the number of the endpoint's
+// cache events lost so far.
+func (h holder) probability(now time.Duration, lost uint32) float64 {
+	age := max(now-time.Duration(h.lastUsedMillis)*time.Millisecond, 0)
 	p := float64(cacheHalfLife) / float64(cacheHalfLife+age)
-	if !h.sure {
-		p *= ownCertainty
+	if !h.confirmed {
+		p *= dispatchedPrefixProbability
 	}
-	return p * lostHalf / (lostHalf + float64(lost-h.lost))
+	return p * lostEventsHalfLife / (lostEventsHalfLife + float64(lost-h.lostEvents))
 }
--- a/routing/link.go
+++ b/routing/link.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Link bounds the bytes that an instance sends over one link between regions; it is a token bucket.
+// Link limits the bytes that an instance sends over one link between regions; it is a token bucket.
 type Link struct {
 	rate  float64
 	level float64
 	at    time.Duration
 }
 
-// newLink returns a full budget for a link of that many bytes a second.
+// newLink returns a full bucket for a link of that many bytes per second.
 func newLink(now time.Duration, bytesPerSecond int64) *Link {
 	l := &Link{at: now}
 	l.setRate(bytesPerSecond)
@@ -21,19 +21,20 @@
 
 func (l *Link) burst() float64 { return l.rate * linkBurst.Seconds() }
 
-// room reports whether the bytes may be sent; more than the burst may be sent only from a full budget.
-func (l *Link) room(now time.Duration, bytes int) bool {
-	l.fill(now)
+// allows reports whether the bytes may be sent. A request larger than the burst is allowed only when the bucket is
+// full.
+func (l *Link) allows(now time.Duration, bytes int) bool {
+	l.refill(now)
 	return l.level >= min(float64(bytes), l.burst())
 }
 
-// take counts the bytes as sent.
+// take deducts the sent bytes from the bucket.
 func (l *Link) take(now time.Duration, bytes int) {
-	l.fill(now)
+	l.refill(now)
 	l.level -= float64(bytes)
 }
 
-func (l *Link) fill(now time.Duration) {
+func (l *Link) refill(now time.Duration) {
 	l.level = min(l.level+l.rate*max(now-l.at, 0).Seconds(), l.burst())
 	l.at = max(l.at, now)
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -9,7 +9,7 @@
 type Terms struct {
 	// Wait is the expected time before the request starts, in seconds.
 	Wait float64
-	// Prefill is the expected time for the uncached part of the prompt and what is queued before it, in seconds.
+	// Prefill is the expected time to prefill the uncached part of the prompt and the backlog before it, in seconds.
 	Prefill float64
 	// Decode is the expected time from the first token to the last, in seconds.
 	Decode float64
@@ -17,11 +17,11 @@
 	Cached float64
 	// Travel is the time for two round trips and the transfer between regions, in seconds.
 	Travel float64
-	// Cost is the cost of the request against the same in the cheapest region.
+	// Cost is the cost of the request relative to the same request in the cheapest region.
 	Cost float64
 	// Away is 1 for another region.
 	Away float64
-	// Score is what the policy minimizes.
+	// Score is the value that the policy minimizes.
 	Score float64
 }
 
@@ -35,28 +35,29 @@
 type Policy interface {
 	// Samples returns how many of n candidates are scored.
 	Samples(n int) int
-	// Score returns the terms of a candidate for a request; mean is the mean load of the candidates and cached the
-	// expected number of cached prompt tokens.
+	// Score returns the terms of a candidate for a request; mean is the mean number of others' requests at a candidate
+	// and cached the expected number of cached prompt tokens.
 	Score(now time.Duration, c *Candidate, mean, cached float64, q *Query) Terms
 	// Informed reports whether the policy uses the reported load and the cached prefixes.
 	Informed() bool
 }
 
-// Expected scores by the expected times and the operators' objective.
+// Expected scores candidates by the expected times, weighted by the operators' objective.
 type Expected struct{}
 
 var _ Policy = Expected{}
 
-// Samples returns half of the candidates and one more, at most six, so that choosers with the same reports differ.
+// Samples returns half of the candidates and one more, at most six, so that choosers with the same reports do not all
+// choose the same candidate.
 func (Expected) Samples(n int) int { return min(n, n/2+1, maxSamples) }
 
 // Informed returns true.
 func (Expected) Informed() bool { return true }
 
-// Score returns the expected times weighed by the objective.
+// Score returns the expected times, weighted by the objective.
 func (Expected) Score(now time.Duration, c *Candidate, mean, cached float64, q *Query) Terms {
 	slots := c.slots()
-	outstanding := c.load.outstanding(now, c.own, mean)
+	outstanding := c.load.outstanding(now, c.ownRequests, mean)
 	t := Terms{Cached: cached, Cost: q.Cost}
 	report := &c.endpoint.Load
 	if report.TokensPerSecond > 0 {
@@ -65,38 +66,38 @@
 	if report.PrefillTokensPerSecond > 0 {
 		t.Prefill = (max(float64(q.PromptTokens)-cached, 0) + c.load.backlog(now)) / report.PrefillTokensPerSecond
 	}
-	hold := c.hold
-	if hold == 0 {
-		hold = t.Prefill + t.Decode
+	serviceTime := c.serviceTime
+	if serviceTime == 0 {
+		serviceTime = t.Prefill + t.Decode
 	}
-	t.Wait = waiting(outstanding+1-slots) / slots * hold
+	t.Wait = expectedQueue(outstanding+1-slots) / slots * serviceTime
 	t.Score = q.Objective.Score(t)
 	return t
 }
 
-// waiting returns the expected number of requests that wait, if over more than the slots are expected and this is not
-// known exactly: a smooth maximum of zero and over.
-func waiting(over float64) float64 {
-	return (over + math.Sqrt(over*over+4*loadSpread*loadSpread)) / 2
+// expectedQueue returns the expected number of waiting requests if the estimated load exceeds the slots by excess. As
+// the estimate is uncertain, it is a smooth maximum of zero and excess.
+func expectedQueue(excess float64) float64 {
+	return (excess + math.Sqrt(excess*excess+4*loadUncertainty*loadUncertainty)) / 2
 }
 
-// LeastOutstanding scores by the chooser's own outstanding requests for each slot.
+// LeastOutstanding scores candidates by the chooser's own outstanding requests per slot.
 type LeastOutstanding struct{}
 
 var _ Policy = LeastOutstanding{}
 
-// Samples returns n.
+// Samples returns n: all candidates are scored.
 func (LeastOutstanding) Samples(n int) int { return n }
 
 // Informed returns false.
 func (LeastOutstanding) Informed() bool { return false }
 
-// Score returns the own outstanding requests for each slot.
+// Score returns the own outstanding requests per slot.
 func (LeastOutstanding) Score(_ time.Duration, c *Candidate, _, _ float64, _ *Query) Terms {
-	return Terms{Score: float64(c.own) / c.slots()}
+	return Terms{Score: float64(c.ownRequests) / c.slots()}
 }
 
-// Random chooses without regard to the candidate.
+// Random chooses a candidate at random.
 type Random struct{}
 
 var _ Policy = Random{}
@@ -107,5 +108,5 @@
 // Informed returns false.
 func (Random) Informed() bool { return false }
 
-// Score returns no terms.
+// Score returns zero terms for every candidate.
 func (Random) Score(time.Duration, *Candidate, float64, float64, *Query) Terms { return Terms{} }
--- a/routing/query.go
+++ b/routing/query.go
@@ -6,46 +6,49 @@
 	"arbutusreel/inventory"
 )
 
-// Objective weighs the terms of a score: one second of latency, the cheapest region's cost of the request, and one
-// request sent away.
+// Objective holds the weights of the terms of a score: Latency weighs one second, Cost the cost of the request in the
+// cheapest region, and Away one request forwarded to another region.
 type Objective struct {
 	Cost    float64
 	Latency float64
 	Away    float64
 }
 
-// NewObjective returns the operators' objective; a latency without weight gets a small one, so that load counts.
+// NewObjective returns the operators' objective. The weight of latency is at least minLatencyWeight, so that load
+// always counts.
 func NewObjective(o inventory.Objective) Objective {
 	return Objective{Cost: o.Cost, Latency: max(o.Latency, minLatencyWeight), Away: o.Away}
 }
 
-// minLatencyWeight is the least weight of a second.
+// minLatencyWeight is the least weight of a second of latency.
 const minLatencyWeight = 0.01
 
-// Score returns what a policy minimizes.
+// Score returns the value that a policy minimizes.
 func (o Objective) Score(t Terms) float64 {
-	return o.Latency*(t.FirstToken()+finishShare*t.Decode) + o.Cost*t.Cost + o.Away*t.Away
+	return o.Latency*(t.FirstToken()+decodeWeight*t.Decode) + o.Cost*t.Cost + o.Away*t.Away
 }
 
-// Query is a request as routing sees it.
+// Query describes a request for routing.
 type Query struct {
 	Service string
 	// Model is empty for a plain service.
 	Model string
-	// Prefixes are the hashes of the prompt's prefixes by whole blocks, the shortest first.
+	// Prefixes are the hashes of the prompt's prefixes in whole blocks, the shortest first.
 	Prefixes       []uint64
 	PromptTokens   int
 	ExpectedTokens int
-	// ReserveTokens is the part of an endpoint's cache that the request reserves.
+	// ReserveTokens is the number of tokens of an endpoint's cache that the request reserves.
 	ReserveTokens int
-	// PrefillPerSecond is the rate at which an endpoint of the own region reads prompt tokens, or zero.
+	// PrefillPerSecond is the prefill rate of an endpoint of the local region in tokens per second, or zero if it is
+	// not known.
 	PrefillPerSecond float64
 	// Exclude names the endpoints that have failed the request.
 	Exclude []string
-	// Behind are the waiting requests that go before this one; there is no room for it at an endpoint that serves one.
+	// Behind are the waiting requests that take precedence over this one: an endpoint that serves one of them has no
+	// capacity for this one.
 	Behind    []*Query
 	Objective Objective
-	// Cost is the cost of the own region against the cheapest, at least 1.
+	// Cost is the cost of the local region relative to the cheapest, at least 1.
 	Cost float64
 }
 
@@ -53,10 +56,10 @@
 	return len(q.Exclude) > 0 && slices.Contains(q.Exclude, name)
 }
 
-// yields reports whether the candidate serves a request that goes before this one.
-func (q *Query) yields(c *Candidate) bool {
-	return slices.ContainsFunc(q.Behind, func(first *Query) bool {
-		return c.serves(first) && !first.excludes(c.endpoint.Name)
+// mustYield reports whether the candidate serves a request that takes precedence over this one.
+func (q *Query) mustYield(c *Candidate) bool {
+	return slices.ContainsFunc(q.Behind, func(preceding *Query) bool {
+		return c.serves(preceding) && !preceding.excludes(c.endpoint.Name)
 	})
 }
 
@@ -66,17 +69,18 @@
 	Terms     Terms
 	// Informed reports whether the policy uses the reported load.
 	Informed bool
-	// Room reports whether the candidate can start the request at once.
+	// Room reports whether the candidate has capacity to start the request at once.
 	Room bool
-	// RunnerUp is the second best that was scored, or nil.
+	// RunnerUp is the second best candidate scored, or nil.
 	RunnerUp      *Candidate
 	RunnerUpTerms Terms
-	// Scored is the number of candidates scored, of Open that may get work.
+	// Scored is the number of candidates scored, and Open the number of available ones.
 	Scored int
 	Open   int
 }
 
-func (d *Decision) offer(c *Candidate, t Terms, room bool) {
+// consider updates the best candidate and the runner-up with a newly scored candidate.
+func (d *Decision) consider(c *Candidate, t Terms, room bool) {
 	d.Scored++
 	switch {
 	case d.Candidate == nil || better(t, room, d.Terms, d.Room):
@@ -87,7 +91,7 @@
 	}
 }
 
-// better reports whether a candidate is better than another: room goes before the score.
+// better reports whether a candidate is better than another: capacity takes precedence over the score.
 func better(t Terms, room bool, other Terms, otherRoom bool) bool {
 	if room != otherRoom {
 		return room
--- a/routing/away_test.go
+++ b/routing/regions_test.go
@@ -8,8 +8,8 @@
 	"arbutusreel/membership"
 )
 
-// TestRegionSlowStart hears of a region later than of another: it takes a burst at once. One that has gone and returns
-// starts slowly.
+// TestRegionSlowStart checks that a region reported for the first time takes a burst at once, and that one that
+// departed and returned begins a slow start.
 func TestRegionSlowStart(t *testing.T) {
 	s := NewRegions(origin, rand.NewPCG(1, 1))
 	summary := func(region string) membership.Summary {
@@ -31,7 +31,7 @@
 	s.Observe(origin, []membership.Summary{summary("grandport")})
 	s.Observe(origin, []membership.Summary{summary("grandport"), summary("plateau")})
 	if n := burst(); n != 20 {
-		t.Errorf("a region that was heard of later takes %d requests of 20", n)
+		t.Errorf("a region reported for the first time takes %d requests of 20", n)
 	}
 	s.Observe(at(time.Second), []membership.Summary{summary("grandport")})
 	s.Observe(at(time.Second), []membership.Summary{summary("grandport"), summary("plateau")})
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -1,38 +1,39 @@
 package routing
 
-// SlowStart bounds the prompt tokens in flight to what has a cold cache; the bound doubles as they complete.
+// SlowStart limits the prompt tokens in flight to an endpoint or region with a cold cache. The window doubles each time
+// a whole window of tokens has completed.
 type SlowStart struct {
-	active  bool
-	window  int
-	pending int
-	done    int
+	active    bool
+	window    int
+	inFlight  int
+	completed int
 }
 
-// NewSlowStart returns a slow start at its lowest bound.
+// NewSlowStart returns a slow start with the initial window.
 func NewSlowStart() SlowStart {
 	return SlowStart{active: true, window: coldPrefillTokens}
 }
 
-// newProbe returns a bound that lets one request through at a time until one is done.
+// newProbe returns a window that admits one request at a time until one has completed.
 func newProbe() SlowStart {
 	return SlowStart{active: true, window: 1}
 }
 
-// Active reports whether the bound still holds.
+// Active reports whether slow start is in progress.
 func (s *SlowStart) Active() bool { return s.active }
 
-// Room reports whether tokens more may be sent; one request is always let through.
+// Room reports whether that many more tokens may be sent; one request is always admitted.
 func (s *SlowStart) Room(tokens int) bool {
-	return !s.active || s.pending == 0 || s.pending+tokens <= s.window
+	return !s.active || s.inFlight == 0 || s.inFlight+tokens <= s.window
 }
 
-// Begin counts the tokens of a prompt that is sent.
-func (s *SlowStart) Begin(tokens int) { s.pending += max(tokens, 1) }
+// Begin adds the tokens of a sent prompt to those in flight.
+func (s *SlowStart) Begin(tokens int) { s.inFlight += max(tokens, 1) }
 
-// End counts the tokens of a prompt as read if done, or as given up.
+// End removes the tokens of a prompt from those in flight; done is true if its prefill completed.
 func (s *SlowStart) End(tokens int, done bool) {
 	tokens = max(tokens, 1)
-	s.pending = max(s.pending-tokens, 0)
+	s.inFlight = max(s.inFlight-tokens, 0)
 	if !s.active || !done {
 		return
 	}
@@ -40,9 +41,9 @@
 		s.window = coldPrefillTokens
 		return
 	}
-	s.done += tokens
-	for s.done >= s.window {
-		s.done -= s.window
+	s.completed += tokens
+	for s.completed >= s.window {
+		s.completed -= s.window
 		s.window *= 2
 	}
 	s.active = s.window < warmPrefillTokens
