--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -14,7 +14,7 @@
 	k := Key{Team: "lahore-club", Class: "plan", Model: "dastarkhwan-menu"}
 	u := NewUses()
 	if got := u.Quantile(k, 0.9, 1024); got != 1024 {
-		t.Errorf("%d tokens reserved before anything is known", got)
+		t.Errorf("%d tokens reserved without samples", got)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
@@ -162,7 +162,7 @@
 	})
 }
 
-// TestQueueTokens checks the work ahead against a plain sum.
+// TestQueueTokens checks the number of tokens ahead against a plain sum.
 func TestQueueTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue[int]()
@@ -191,7 +191,7 @@
 				}
 			}
 			if q.Len() != len(open) {
-				t.Fatalf("%d wait of %d", q.Len(), len(open))
+				t.Fatalf("queue length %d, want %d", q.Len(), len(open))
 			}
 		}
 	})
@@ -199,17 +199,17 @@
 
 func TestDeferrableGivesWay(t *testing.T) {
 	q := NewQueue[int]()
-	notice := waiting("lahore-club", 3, 10, 1)
-	notice.Deferrable = true
-	q.Push(notice)
+	deferrable := waiting("lahore-club", 3, 10, 1)
+	deferrable.Deferrable = true
+	q.Push(deferrable)
 	if _, ok := q.Next(start, false); ok {
-		t.Error("a notice starts though there is no capacity to spare")
+		t.Error("a deferrable request starts without spare capacity")
 	}
-	if w, ok := q.Next(start, true); !ok || w != notice {
-		t.Error("a notice does not start though there is capacity to spare")
+	if w, ok := q.Next(start, true); !ok || w != deferrable {
+		t.Error("a deferrable request does not start with spare capacity")
 	}
 	if _, ok := q.Next(start.Add(50*time.Minute), false); !ok {
-		t.Error("a notice near the end of its patience does not start")
+		t.Error("a deferrable request near the end of its patience does not start")
 	}
 }
 
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Limits of the learned use.
+// Parameters of the token usage estimate.
 const (
-	maxTokens       = 1 << 20
-	useDigits       = 1
-	minSamples      = 20
-	samplesPerDecay = 512
-	maxUses         = 2048
-	// priorShare is the part of what is asked that is expected to be used before anything is known.
-	priorShare = 0.25
+	maxTokens         = 1 << 20
+	significantDigits = 1
+	minSamples        = 20
+	samplesPerDecay   = 512
+	maxSketches       = 2048
+	// priorFraction is the fraction of the requested tokens that is expected to be used while there are too few
+	// samples.
+	priorFraction = 0.25
 )
 
-// growthShare is the part of its reservation by which a request grows that has used all of it.
-const growthShare = 0.5
+// growthFraction is the fraction of its size by which a used-up reservation grows.
+const growthFraction = 0.5
 
-// urgentShare is the part of the patience before the latest start in which a waiting request goes before its class.
-const urgentShare = 0.25
+// urgentFraction is the last fraction of its patience, before its latest start, in which a waiting request precedes
+// all priorities.
+const urgentFraction = 0.25
 
-// Limits of the rate at which waiting work starts.
+// Parameters of the start rate estimate: its measuring window and its smoothing factor.
 const (
 	rateWindow = time.Second
-	rateShare  = 0.3
+	rateGain   = 0.3
 )
 
-// maxRefused is the number of refusals that are followed up.
-const maxRefused = 256
+// maxTrackedRefusals is the number of refusals that an Audit tracks at a time.
+const maxTrackedRefusals = 256
 
-// minRetryAfter is the least time after which a refused caller is asked to come back.
+// minRetryAfter is the shortest delay after which a refused caller is asked to retry.
 const minRetryAfter = time.Second
--- a/admission/room_test.go
+++ b/admission/memory_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestRoom lets holders take and give back bytes and checks the bounds of all of them.
+// TestRoom lets holders take and return bytes and checks the bounds of all of them.
 func TestRoom(t *testing.T) {
 	holders := []Holder{{Team: "a"}, {Team: "b"}, {Team: "a", Deferrable: true}, {Team: "b", Deferrable: true}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -27,7 +27,7 @@
 				held[h] = append(held[h], bytes)
 			}
 			if free := size - r.Used(); first && !taken && !h.Deferrable && 3*bytes <= 2*free {
-				t.Fatalf("%v holds nothing and got none of %d free bytes for %d", h, free, bytes)
+				t.Fatalf("%v holds nothing and with %d bytes free was refused %d", h, free, bytes)
 			}
 			sum, deferrable := int64(0), int64(0)
 			for h, all := range held {
@@ -44,7 +44,7 @@
 				sum += own
 			}
 			if sum != r.Used() || sum > size || deferrable > size/2 {
-				t.Fatalf("%d bytes are held, %d of them put off, %d used", sum, deferrable, r.Used())
+				t.Fatalf("%d bytes are held, %d of them by deferrable requests, %d used", sum, deferrable, r.Used())
 			}
 		}
 		for h, all := range held {
@@ -53,7 +53,7 @@
 			}
 		}
 		if r.Used() != 0 || len(r.held) != 0 {
-			t.Fatalf("%d bytes are left, %v", r.Used(), r.held)
+			t.Fatalf("%d bytes are still used, holders %v", r.Used(), r.held)
 		}
 	})
 }
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -1,19 +1,20 @@
 package admission
 
-// Pool is the tokens of one endpoint's cache that running requests may fill; a zero capacity is unbounded.
+// Pool accounts for the tokens of one endpoint's cache that running requests may fill; a capacity of zero is
+// unbounded.
 type Pool struct {
 	capacity int
 	reserved int
 	overrun  int
 }
 
-// SetCapacity sets the tokens that the endpoint holds.
+// SetCapacity sets the number of tokens that the endpoint's cache holds.
 func (p *Pool) SetCapacity(capacity int) { p.capacity = capacity }
 
-// Reserved returns the tokens that are reserved now.
+// Reserved returns the number of tokens that are reserved now.
 func (p *Pool) Reserved() int { return p.reserved }
 
-// Overrun returns the tokens that running requests use beyond what could be reserved.
+// Overrun returns the number of tokens that running requests use beyond what could be reserved.
 func (p *Pool) Overrun() int { return p.overrun }
 
 // Room reports whether the tokens can be reserved.
@@ -21,7 +22,7 @@
 	return p.capacity == 0 || p.reserved+p.overrun+tokens <= p.capacity
 }
 
-// Reserve takes the tokens; ok is false if there is no room for them.
+// Reserve reserves tokens; ok is false if the pool's capacity does not suffice.
 func (p *Pool) Reserve(tokens int) (r *Reservation, ok bool) {
 	if !p.Room(tokens) {
 		return nil, false
@@ -30,7 +31,7 @@
 	return &Reservation{pool: p, tokens: tokens}, true
 }
 
-// Reservation is a running request's part of a pool.
+// Reservation is a running request's share of a pool.
 type Reservation struct {
 	pool    *Pool
 	tokens  int
@@ -38,11 +39,11 @@
 	overrun int
 }
 
-// Tokens returns what the request holds.
+// Tokens returns the number of tokens that the request has reserved.
 func (r *Reservation) Tokens() int { return r.tokens }
 
-// Use notes that the request has used that many tokens in all. A request that has used its whole reservation grows
-// it; what the pool has no room for is counted as its overrun.
+// Use records the number of tokens that the request has used in total. A reservation that is used up is extended; what
+// the pool has no capacity for is counted as the request's overrun.
 func (r *Reservation) Use(used int) {
 	if r.pool == nil || used <= r.used {
 		return
@@ -51,7 +52,7 @@
 	if used <= r.tokens+r.overrun {
 		return
 	}
-	step := max(int(float64(r.tokens)*growthShare), used-r.tokens-r.overrun, 1)
+	step := max(int(float64(r.tokens)*growthFraction), used-r.tokens-r.overrun, 1)
 	if r.pool.Room(step) {
 		r.pool.reserved += step
 		r.tokens += step
@@ -62,7 +63,7 @@
 	r.pool.overrun += over
 }
 
-// Release gives everything back, and reports false if that was done before.
+// Release returns the reservation to the pool, and reports false if that was done before.
 func (r *Reservation) Release() bool {
 	if r.pool == nil {
 		return false
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,43 +8,43 @@
 // Waiting is a request that waits for capacity.
 type Waiting[T any] struct {
 	Team string
-	// Priority is the priority of the class; lower goes first.
+	// Priority is the priority of the class; lower values start first.
 	Priority int
-	// Weight is the share of the team against others, above zero.
+	// Weight is the team's weight relative to other teams, above zero.
 	Weight float64
-	// Tokens is the work of the request.
+	// Tokens is the work of the request, in tokens.
 	Tokens int
-	// Deferrable tells that the request gives way while capacity is short.
+	// Deferrable requests yield to others while capacity is short.
 	Deferrable bool
-	// Since is when the request came, and LatestStart when its answer can begin at the latest.
+	// Since is the arrival time, and LatestStart the latest time at which the answer can begin.
 	Since       time.Time
 	LatestStart time.Time
 	Value       T
 
-	start  float64
-	queued bool
+	startTag float64
+	queued   bool
 }
 
-// work returns the request's work by the team's weight.
-func (w *Waiting[T]) work() float64 { return float64(w.Tokens) / w.Weight }
+// normalizedWork returns the request's work divided by the team's weight.
+func (w *Waiting[T]) normalizedWork() float64 { return float64(w.Tokens) / w.Weight }
 
-// Before reports whether the request goes before another, which may wait in another queue of the same shares.
+// Before reports whether the request precedes another one, which may wait in another queue with the same Shares.
 func (w *Waiting[T]) Before(now time.Time, other *Waiting[T]) bool {
 	return before(w, w.urgent(now), other, other.urgent(now))
 }
 
-// GoesBefore reports whether the request goes before a new one of the priority.
+// GoesBefore reports whether the request precedes a new one of the priority.
 func (w *Waiting[T]) GoesBefore(now time.Time, priority int) bool {
 	return w.Priority <= priority || w.urgent(now)
 }
 
-// urgent reports whether the request must start soon to be met.
+// urgent reports whether the request must start soon to meet its latest start.
 func (w *Waiting[T]) urgent(now time.Time) bool {
 	patience := w.LatestStart.Sub(w.Since)
-	return !now.Before(w.LatestStart.Add(-time.Duration(float64(patience) * urgentShare)))
+	return !now.Before(w.LatestStart.Add(-time.Duration(float64(patience) * urgentFraction)))
 }
 
-// flowKey names the requests of one team and priority.
+// flowKey identifies the requests of one team and priority.
 type flowKey struct {
 	priority int
 	team     string
@@ -54,7 +54,7 @@
 	waiting []*Waiting[T]
 }
 
-// Queue holds waiting requests; within a priority it is fair over teams by their weights.
+// Queue holds waiting requests; within a priority it is fair across teams by their weights.
 type Queue[T any] struct {
 	flows  map[flowKey]*flow[T]
 	keys   []flowKey
@@ -63,10 +63,10 @@
 	length int
 }
 
-// NewQueue returns an empty queue with shares of its own.
+// NewQueue returns an empty queue with its own Shares.
 func NewQueue[T any]() *Queue[T] { return NewSharedQueue[T](NewShares()) }
 
-// NewSharedQueue returns an empty queue, whose teams share with those of the other queues of the shares.
+// NewSharedQueue returns an empty queue whose teams share capacity with those of all queues that use s.
 func NewSharedQueue[T any](s *Shares) *Queue[T] {
 	return &Queue[T]{flows: map[flowKey]*flow[T]{}, shares: s, tokens: map[int]int{}}
 }
@@ -74,7 +74,7 @@
 // Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Ahead returns the tokens of the requests that go before a new one of the priority.
+// Ahead returns the number of waiting tokens that precede a new request of the priority.
 func (q *Queue[T]) Ahead(priority int) int {
 	n := 0
 	for p, tokens := range q.tokens {
@@ -85,7 +85,7 @@
 	return n
 }
 
-// Push appends a request to those of its team.
+// Push appends a request to the flow of its team.
 func (q *Queue[T]) Push(w *Waiting[T]) {
 	k := flowKey{priority: w.Priority, team: w.Team}
 	f := q.flows[k]
@@ -97,7 +97,7 @@
 		q.keys = append(q.keys, k)
 		slices.SortFunc(q.keys, compareFlows)
 	}
-	w.start = q.shares.start(k, w.work())
+	w.startTag = q.shares.assignStartTag(k, w.normalizedWork())
 	f.waiting = append(f.waiting, w)
 	w.queued = true
 	q.tokens[w.Priority] += w.Tokens
@@ -114,8 +114,8 @@
 	return 1
 }
 
-// Next returns the request that starts next, which stays in the queue; ok is false if none may start. Deferrable
-// requests may start only if there is capacity to spare or they are urgent.
+// Next returns the request to start next without removing it; ok is false if none may start. Deferrable requests may
+// start only if there is spare capacity or they are urgent.
 func (q *Queue[T]) Next(now time.Time, spare bool) (next *Waiting[T], ok bool) {
 	urgent := false
 	for _, k := range q.keys {
@@ -131,8 +131,8 @@
 	return next, next != nil
 }
 
-// before reports whether a request goes before another: urgent ones by their latest start, the others by priority
-// and then by their start tag.
+// before reports whether a request precedes another: urgent ones in the order of their latest start, the others by
+// priority and then by their start tag.
 func before[T any](w *Waiting[T], urgent bool, other *Waiting[T], otherUrgent bool) bool {
 	switch {
 	case urgent != otherUrgent:
@@ -142,10 +142,10 @@
 	case w.Priority != other.Priority:
 		return w.Priority < other.Priority
 	}
-	return w.start < other.start
+	return w.startTag < other.startTag
 }
 
-// Remove takes a request out, as it starts or has gone; it reports false if the request does not wait.
+// Remove removes a request that starts or that leaves without starting; it reports false if the request does not wait.
 func (q *Queue[T]) Remove(w *Waiting[T], starts bool) bool {
 	if !w.queued {
 		return false
@@ -158,28 +158,28 @@
 	q.tokens[w.Priority] -= w.Tokens
 	q.length--
 	if starts {
-		q.shares.started(w.Priority, w.start)
+		q.shares.advanceVirtualTime(w.Priority, w.startTag)
 	} else {
 		q.retag(k, f, i, w)
 	}
-	empty := len(f.waiting) == 0
-	if empty {
-		q.close(k)
+	flowEmpty := len(f.waiting) == 0
+	if flowEmpty {
+		q.removeFlow(k)
 	}
-	q.shares.leave(k, empty)
+	q.shares.dequeue(k, flowEmpty)
 	return true
 }
 
-// retag gives the work of a request that has gone back to the later ones of its team.
-func (q *Queue[T]) retag(k flowKey, f *flow[T], i int, gone *Waiting[T]) {
+// retag credits the work of a request that leaves without starting to the later ones of its team.
+func (q *Queue[T]) retag(k flowKey, f *flow[T], i int, removed *Waiting[T]) {
 	for _, w := range f.waiting[i:] {
-		w.start = max(w.start-gone.work(), gone.start)
+		w.startTag = max(w.startTag-removed.normalizedWork(), removed.startTag)
 	}
-	q.shares.giveBack(k, gone.work(), gone.start)
+	q.shares.refundWork(k, removed.normalizedWork(), removed.startTag)
 }
 
-// close takes an empty flow out of turn.
-func (q *Queue[T]) close(k flowKey) {
+// removeFlow removes an empty flow from the queue.
+func (q *Queue[T]) removeFlow(k flowKey) {
 	i := slices.Index(q.keys, k)
 	q.keys = slices.Delete(q.keys, i, i+1)
 	delete(q.flows, k)
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -1,57 +1,57 @@
 package admission
 
-// Shares holds the virtual times and the teams' finish tags of queues that share capacity, so that each team has its
-// share over all of them.
+// Shares holds the virtual times and the teams' finish tags of queues that share capacity, so that each team gets its
+// share over all of these queues.
 type Shares struct {
-	finish  map[flowKey]float64
-	virtual map[int]float64
-	// waiting is the number of requests that wait at each priority.
+	finishTags   map[flowKey]float64
+	virtualTimes map[int]float64
+	// waiting is the number of waiting requests of each priority.
 	waiting map[int]int
 }
 
-// NewShares returns shares of which nothing was used.
+// NewShares returns Shares without recorded work.
 func NewShares() *Shares {
-	return &Shares{finish: map[flowKey]float64{}, virtual: map[int]float64{}, waiting: map[int]int{}}
+	return &Shares{finishTags: map[flowKey]float64{}, virtualTimes: map[int]float64{}, waiting: map[int]int{}}
 }
 
-// start returns the start tag of a team's next request and takes its work.
-func (s *Shares) start(k flowKey, work float64) float64 {
-	start := max(s.finish[k], s.virtual[k.priority])
-	s.finish[k] = start + work
+// assignStartTag returns the start tag of a team's next request and adds its work to the team's finish tag.
+func (s *Shares) assignStartTag(k flowKey, work float64) float64 {
+	tag := max(s.finishTags[k], s.virtualTimes[k.priority])
+	s.finishTags[k] = tag + work
 	s.waiting[k.priority]++
-	return start
+	return tag
 }
 
-// started advances the virtual time of a priority.
-func (s *Shares) started(priority int, start float64) {
-	s.virtual[priority] = max(s.virtual[priority], start)
+// advanceVirtualTime advances the virtual time of a priority to the start tag of a request that starts.
+func (s *Shares) advanceVirtualTime(priority int, startTag float64) {
+	s.virtualTimes[priority] = max(s.virtualTimes[priority], startTag)
 }
 
-// giveBack returns the work of a request that has gone to its team.
-func (s *Shares) giveBack(k flowKey, work, start float64) {
-	s.finish[k] = max(s.finish[k]-work, start)
+// refundWork subtracts the work of a request that leaves without starting from the finish tag of its team.
+func (s *Shares) refundWork(k flowKey, work, startTag float64) {
+	s.finishTags[k] = max(s.finishTags[k]-work, startTag)
 }
 
-// leave counts a request that waits no more; closed tells that its flow is empty. The finish tag of a closed flow is
-// kept while it lies beyond the virtual time, so that a team gains nothing by waiting with one request at a time. A
-// priority at which nothing waits begins anew.
-func (s *Shares) leave(k flowKey, closed bool) {
+// dequeue records that a request has left its queue; flowEmpty tells whether its flow is empty now. The finish tag of
+// an empty flow is kept while it is beyond the virtual time, so that a team gains nothing by queueing one request at a
+// time. A priority without waiting requests is reset.
+func (s *Shares) dequeue(k flowKey, flowEmpty bool) {
 	s.waiting[k.priority]--
 	if s.waiting[k.priority] == 0 {
-		s.forget(k.priority)
+		s.resetPriority(k.priority)
 		return
 	}
-	if closed && s.finish[k] <= s.virtual[k.priority] {
-		delete(s.finish, k)
+	if flowEmpty && s.finishTags[k] <= s.virtualTimes[k.priority] {
+		delete(s.finishTags, k)
 	}
 }
 
-func (s *Shares) forget(priority int) {
-	for k := range s.finish {
+func (s *Shares) resetPriority(priority int) {
+	for k := range s.finishTags {
 		if k.priority == priority {
-			delete(s.finish, k)
+			delete(s.finishTags, k)
 		}
 	}
-	delete(s.virtual, priority)
+	delete(s.virtualTimes, priority)
 	delete(s.waiting, priority)
 }
--- a/admission/use.go
+++ b/admission/usage.go
@@ -4,19 +4,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Key names requests that are expected to use alike.
+// Key identifies requests that are expected to use similar numbers of tokens.
 type Key struct {
 	Team  string
 	Class string
 	Model string
 }
 
-// keys returns the key, that of all teams' requests of the class and model, and that of all requests of the model.
-func (k Key) keys() [3]Key {
+// withFallbacks returns the key, that of all teams' requests of the class and model, and that of all requests of the
+// model.
+func (k Key) withFallbacks() [3]Key {
 	return [3]Key{k, {Class: k.Class, Model: k.Model}, {Model: k.Model}}
 }
 
-// sketch is a histogram of the tokens that requests used, whose older half loses weight.
+// sketch is a histogram of the tokens that requests used, in which older samples lose weight.
 type sketch struct {
 	histogram *hdrhistogram.Histogram
 	samples   int
@@ -26,7 +27,7 @@
 }
 
 func newSketch() *sketch {
-	return &sketch{histogram: hdrhistogram.New(1, maxTokens, useDigits)}
+	return &sketch{histogram: hdrhistogram.New(1, maxTokens, significantDigits)}
 }
 
 func (s *sketch) record(tokens int) {
@@ -39,7 +40,7 @@
 	s.total += int64(tokens)
 }
 
-// decay halves the weight of everything that was recorded.
+// decay halves the weight of all recorded samples.
 func (s *sketch) decay() {
 	counts := s.histogram.Export()
 	for i := range counts.Counts {
@@ -51,56 +52,56 @@
 	s.total /= 2
 }
 
-// Uses learns how many tokens requests really use.
+// Uses estimates how many tokens requests use from those that have completed.
 type Uses struct {
 	sketches map[Key]*sketch
 	clock    uint64
 }
 
-// NewUses returns a learner that has seen no request.
+// NewUses returns an estimator without samples.
 func NewUses() *Uses {
 	return &Uses{sketches: map[Key]*sketch{}}
 }
 
-// Record notes that a request that was answered whole has used tokens.
+// Record records the number of tokens that a completely answered request has used.
 func (u *Uses) Record(k Key, tokens int) {
 	tokens = min(max(tokens, 1), maxTokens)
-	for _, key := range k.keys() {
+	for _, key := range k.withFallbacks() {
 		u.sketch(key).record(tokens)
 	}
 }
 
-// Quantile returns the quantile of what requests like this one have used, at most asked. Before enough of the team's
-// requests are known it is that of all teams' requests of the class, then of all of the model, and then asked.
+// Quantile returns the quantile q of the tokens that similar requests have used, at most asked. While there are too
+// few samples of the team, it is that of all teams' requests of the class, then that of all requests of the model, and
+// then asked.
 func (u *Uses) Quantile(k Key, q float64, asked int) int {
-	s := u.known(k)
+	s := u.lookup(k)
 	if s == nil || q <= 0 {
 		return asked
 	}
 	return min(int(s.histogram.ValueAtQuantile(100*min(q, 1))), asked)
 }
 
-// Mean returns the mean of what requests like this one have used, at most asked; before anything is known it is a
-// quarter of asked.
+// Mean returns the mean number of tokens that similar requests have used, at most asked; while there are too few
+// samples, it is a quarter of asked.
 func (u *Uses) Mean(k Key, asked int) int {
-	s := u.known(k)
+	s := u.lookup(k)
 	if s == nil {
-		return int(priorShare * float64(asked))
+		return int(priorFraction * float64(asked))
 	}
 	return min(int(s.total/int64(s.samples)), asked)
 }
 
-// Likely returns the quantile of what requests like this one have used as Quantile does; before anything is known it
-// is a quarter of asked.
+// Likely returns the same quantile as Quantile; while there are too few samples, it is a quarter of asked.
 func (u *Uses) Likely(k Key, q float64, asked int) int {
-	if u.known(k) == nil {
-		return int(priorShare * float64(asked))
+	if u.lookup(k) == nil {
+		return int(priorFraction * float64(asked))
 	}
 	return u.Quantile(k, q, asked)
 }
 
-func (u *Uses) known(k Key) *sketch {
-	for _, key := range k.keys() {
+func (u *Uses) lookup(k Key) *sketch {
+	for _, key := range k.withFallbacks() {
 		if s := u.sketches[key]; s != nil && s.samples >= minSamples {
 			u.clock++
 			s.usedAt = u.clock
@@ -110,15 +111,16 @@
 	return nil
 }
 
-// sketch returns the sketch of the key; if there are too many, the one that was not used for longest is forgotten.
+// sketch returns the sketch of the key, which it adds if there is none; of too many the least recently used one is
+// evicted.
 func (u *Uses) sketch(k Key) *sketch {
 	u.clock++
 	if s := u.sketches[k]; s != nil {
 		s.usedAt = u.clock
 		return s
 	}
-	if len(u.sketches) >= maxUses {
-		u.forget()
+	if len(u.sketches) >= maxSketches {
+		u.evictOldest()
 	}
 	s := newSketch()
 	s.usedAt = u.clock
@@ -126,7 +128,7 @@
 	return s
 }
 
-func (u *Uses) forget() {
+func (u *Uses) evictOldest() {
 	var oldest Key
 	at := u.clock + 1
 	for k, s := range u.sketches {
--- a/limits/account.go
+++ b/limits/account.go
@@ -11,13 +11,14 @@
 	Lender   string
 	Borrower string
 	Number   uint64
-	// Rate is the rate that the borrower has use for, in tokens a second.
+	// Rate is the rate that the borrower can use, in tokens per second.
 	Rate float64
-	// Handover asks a leaving owner when its part is free, in place of a rate.
+	// Handover asks a leaving owner when its share is free, in place of asking for a rate.
 	Handover bool
 }
 
-// Grant is a lender's answer to the ask of the same number; the borrower may use the rate for Duration after it asked.
+// Grant is a lender's answer to the ask of the same number; the borrower may use Rate, in tokens per second, for
+// Duration from the time at which it asked.
 type Grant struct {
 	Team     string
 	Lender   string
@@ -25,106 +26,108 @@
 	Number   uint64
 	Rate     float64
 	Duration time.Duration
-	// Handover says that the lender has left its part, in which nothing is in use after Duration.
+	// Handover means that the lender has given up its share, of which nothing is in use after Duration.
 	Handover bool
 }
 
-// loan is a rate that was lent until a time of the lender's clock.
-type loan struct {
-	rate float64
-	ends time.Time
+// lease is a rate that is granted to a borrower until a time on the lender's clock.
+type lease struct {
+	rate      float64
+	expiresAt time.Time
 }
 
-// debt is a rate that was borrowed until a time of the borrower's clock.
-type debt struct {
-	rate float64
-	ends time.Time
+// borrowedLease is a rate that may be used until a time on the borrower's clock.
+type borrowedLease struct {
+	rate      float64
+	expiresAt time.Time
 }
 
-// pending is the last ask to a lender.
-type pending struct {
+// pendingAsk is the last ask to a lender.
+type pendingAsk struct {
 	number uint64
 	sentAt time.Time
 }
 
-// account is one team's limit as one instance knows it.
+// account is the state of one team's limit at one instance.
 type account struct {
-	self    string
-	team    string
-	own     float64
-	ownFrom time.Time
-	loans   map[string][]loan
-	wants   map[string]loan
-	debts   map[string]debt
-	asked   map[string]pending
-	number  uint64
-	// owner is the owner of the own region's part, and former the one before the instance became the owner itself.
-	owner  string
-	former string
-	// left tells that the instance owned a part when it left, and heir is the instance that it told so.
-	left   bool
-	heir   string
-	bucket bucket
-	demand demand
-	// idle is the rate that the instance keeps without demand, so that a first request finds tokens.
-	idle float64
+	self           string
+	team           string
+	ownRate        float64
+	ownUsableFrom  time.Time
+	leases         map[string][]lease
+	requested      map[string]lease
+	borrowedLeases map[string]borrowedLease
+	pendingAsks    map[string]pendingAsk
+	lastNumber     uint64
+	// owner is the owner of the own region's share, and previousOwner the one before this instance became the owner.
+	owner         string
+	previousOwner string
+	// departed reports that the instance owned a share when it left, and successor is the first instance that it
+	// answered so.
+	departed  bool
+	successor string
+	bucket    bucket
+	demand    demand
+	// idleRate is the rate that the instance keeps without demand, so that a first request finds tokens.
+	idleRate float64
 }
 
 func newAccount(self, team string) *account {
 	return &account{
-		self:  self,
-		team:  team,
-		loans: map[string][]loan{},
-		wants: map[string]loan{},
-		debts: map[string]debt{},
-		asked: map[string]pending{},
+		self:           self,
+		team:           team,
+		leases:         map[string][]lease{},
+		requested:      map[string]lease{},
+		borrowedLeases: map[string]borrowedLease{},
+		pendingAsks:    map[string]pendingAsk{},
 	}
 }
 
-// setOwn gives the account a rate of its own from a time on, or takes it.
-func (a *account) setOwn(now time.Time, rate float64) {
-	if rate > 0 && a.own <= 0 {
-		a.ownFrom = now.Add(takeoverTime)
+// setOwnRate sets the rate that the instance owns; a rate above zero is usable after takeoverTime if none was owned
+// before.
+func (a *account) setOwnRate(now time.Time, rate float64) {
+	if rate > 0 && a.ownRate <= 0 {
+		a.ownUsableFrom = now.Add(takeoverTime)
 	}
-	a.own = rate
-	a.update(now)
+	a.ownRate = rate
+	a.updateBucket(now)
 }
 
-func (a *account) owned(now time.Time) float64 {
-	if now.Before(a.ownFrom) {
+func (a *account) usableOwnRate(now time.Time) float64 {
+	if now.Before(a.ownUsableFrom) {
 		return 0
 	}
-	return a.own
+	return a.ownRate
 }
 
-// lentTo returns the rate that a borrower may be using: the highest of its loans that have not ended.
-func (a *account) lentTo(now time.Time, borrower string) float64 {
-	live := slices.DeleteFunc(a.loans[borrower], func(l loan) bool { return !now.Before(l.ends) })
-	if len(live) == 0 {
-		delete(a.loans, borrower)
+// leasedTo returns the rate that a borrower may be using: the highest of its leases that have not expired.
+func (a *account) leasedTo(now time.Time, borrower string) float64 {
+	unexpired := slices.DeleteFunc(a.leases[borrower], func(l lease) bool { return !now.Before(l.expiresAt) })
+	if len(unexpired) == 0 {
+		delete(a.leases, borrower)
 		return 0
 	}
-	a.loans[borrower] = live
+	a.leases[borrower] = unexpired
 	var highest float64
-	for _, l := range live {
+	for _, l := range unexpired {
 		highest = max(highest, l.rate)
 	}
 	return highest
 }
 
-func (a *account) lent(now time.Time) float64 {
+func (a *account) leasedOut(now time.Time) float64 {
 	var sum float64
-	for borrower := range a.loans {
-		sum += a.lentTo(now, borrower)
+	for borrower := range a.leases {
+		sum += a.leasedTo(now, borrower)
 	}
 	return sum
 }
 
 func (a *account) borrowed(now time.Time) float64 {
 	var sum float64
-	for lender, d := range a.debts {
-		if !now.Before(d.ends) {
-			delete(a.debts, lender)
+	for lender, d := range a.borrowedLeases {
+		if !now.Before(d.expiresAt) {
+			delete(a.borrowedLeases, lender)
 			continue
 		}
 		sum += d.rate
@@ -132,84 +135,85 @@
 	return sum
 }
 
-// available returns the rate that the instance may use now.
-func (a *account) available(now time.Time) float64 {
-	return max(a.owned(now)-a.lent(now), 0) + a.borrowed(now)
+// availableRate returns the rate that the instance may use now.
+func (a *account) availableRate(now time.Time) float64 {
+	return max(a.usableOwnRate(now)-a.leasedOut(now), 0) + a.borrowed(now)
 }
 
-func (a *account) update(now time.Time) { a.bucket.set(now, a.available(now)) }
+func (a *account) updateBucket(now time.Time) { a.bucket.setRate(now, a.availableRate(now)) }
 
-// ask returns an ask for a rate to a lender.
-func (a *account) ask(now time.Time, lender string, rate float64) Ask {
-	a.number++
-	a.asked[lender] = pending{number: a.number, sentAt: now}
-	return Ask{Team: a.team, Lender: lender, Borrower: a.self, Number: a.number, Rate: rate}
+// newAsk returns an ask for a rate to a lender and records it as the last one to it.
+func (a *account) newAsk(now time.Time, lender string, rate float64) Ask {
+	a.lastNumber++
+	a.pendingAsks[lender] = pendingAsk{number: a.lastNumber, sentAt: now}
+	return Ask{Team: a.team, Lender: lender, Borrower: a.self, Number: a.lastNumber, Rate: rate}
 }
 
-// lend answers an ask with what is fair and free; the own demand has its fair part as well.
+// lend grants an ask the smaller of its fair share and the free rate; the instance's own demand has a fair share as
+// well.
 func (a *account) lend(now time.Time, ask Ask) Grant {
-	a.wants[ask.Borrower] = loan{rate: ask.Rate, ends: now.Add(2 * LeaseTime)}
-	free := a.owned(now) - a.lent(now) + a.lentTo(now, ask.Borrower)
-	rate := max(min(a.fair(now, ask.Rate), free), 0)
+	a.requested[ask.Borrower] = lease{rate: ask.Rate, expiresAt: now.Add(2 * LeaseTime)}
+	free := a.usableOwnRate(now) - a.leasedOut(now) + a.leasedTo(now, ask.Borrower)
+	rate := max(min(a.fairShare(now, ask.Rate), free), 0)
 	if rate > 0 {
-		a.loans[ask.Borrower] = append(a.loans[ask.Borrower], loan{rate: rate, ends: now.Add(LeaseTime + driftMargin)})
+		a.leases[ask.Borrower] = append(a.leases[ask.Borrower], lease{rate: rate, expiresAt: now.Add(LeaseTime + driftMargin)})
 	}
-	a.update(now)
+	a.updateBucket(now)
 	return Grant{Team: ask.Team, Lender: a.self, Borrower: ask.Borrower, Number: ask.Number, Rate: rate, Duration: LeaseTime}
 }
 
-// want returns the rate that the instance has use for.
-func (a *account) want(now time.Time) float64 {
-	return max(a.demand.rate(now)*demandSpare, a.idle)
+// desiredRate returns the rate that the instance can use.
+func (a *account) desiredRate(now time.Time) float64 {
+	return max(a.demand.rate(now)*demandHeadroomFactor, a.idleRate)
 }
 
-// fair returns the max-min fair part of the own rate for a demand among all demands that are known.
-func (a *account) fair(now time.Time, want float64) float64 {
-	wants := []float64{a.want(now)}
-	for borrower, w := range a.wants {
-		if !now.Before(w.ends) {
-			delete(a.wants, borrower)
+// fairShare returns the max-min fair share of the own rate for a demand among all known demands.
+func (a *account) fairShare(now time.Time, want float64) float64 {
+	wants := []float64{a.desiredRate(now)}
+	for borrower, w := range a.requested {
+		if !now.Before(w.expiresAt) {
+			delete(a.requested, borrower)
 			continue
 		}
 		wants = append(wants, w.rate)
 	}
 	slices.Sort(wants)
-	left := a.owned(now)
+	remaining := a.usableOwnRate(now)
 	for i, w := range wants {
-		part := left / float64(len(wants)-i)
-		if w >= part {
-			return min(want, part)
+		share := remaining / float64(len(wants)-i)
+		if w >= share {
+			return min(want, share)
 		}
-		left -= w
+		remaining -= w
 	}
 	return want
 }
 
-// take begins to use a grant, if it answers the last ask to its lender.
-func (a *account) take(now time.Time, g Grant) {
-	p, ok := a.asked[g.Lender]
+// acceptGrant starts to use a grant if it answers the last ask to its lender.
+func (a *account) acceptGrant(now time.Time, g Grant) {
+	p, ok := a.pendingAsks[g.Lender]
 	if !ok || p.number != g.Number || g.Borrower != a.self {
 		return
 	}
 	if g.Handover {
-		a.takeOver(now, p, g)
+		a.acceptHandover(now, p, g)
 		return
 	}
-	a.update(now)
-	a.debts[g.Lender] = debt{rate: g.Rate, ends: p.sentAt.Add(min(g.Duration, LeaseTime))}
-	a.update(now)
+	a.updateBucket(now)
+	a.borrowedLeases[g.Lender] = borrowedLease{rate: g.Rate, expiresAt: p.sentAt.Add(min(g.Duration, LeaseTime))}
+	a.updateBucket(now)
 }
 
-// demand averages the tokens that were asked of an account, allowed or not.
+// demand averages the tokens that were requested of an account, allowed or not.
 type demand struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 func (d *demand) decay(now time.Time) {
-	elapsed := max(now.Sub(d.at), 0)
-	d.value *= float64(demandTime) / float64(demandTime+elapsed)
-	d.at = now
+	elapsed := max(now.Sub(d.updatedAt), 0)
+	d.value *= float64(demandWindow) / float64(demandWindow+elapsed)
+	d.updatedAt = now
 }
 
 func (d *demand) add(now time.Time, tokens float64) {
@@ -217,8 +221,8 @@
 	d.value += tokens
 }
 
-// rate returns the demand in tokens a second.
+// rate returns the demand in tokens per second.
 func (d *demand) rate(now time.Time) float64 {
 	d.decay(now)
-	return d.value / demandTime.Seconds()
+	return d.value / demandWindow.Seconds()
 }
--- a/limits/bucket.go
+++ b/limits/bucket.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// bucket is a token bucket whose rate changes.
+// bucket is a token bucket with a variable rate, in tokens per second.
 type bucket struct {
-	level float64
-	rate  float64
-	at    time.Time
+	level     float64
+	rate      float64
+	updatedAt time.Time
 }
 
-// set fills the bucket up to now at the lower of the former and the new rate, and goes on with the new one.
-func (b *bucket) set(now time.Time, rate float64) {
-	if b.at.IsZero() {
-		b.at = now
+// setRate fills the bucket up to now at the lower of the old and the new rate, and then switches to the new one.
+func (b *bucket) setRate(now time.Time, rate float64) {
+	if b.updatedAt.IsZero() {
+		b.updatedAt = now
 	}
-	elapsed := max(now.Sub(b.at), 0).Seconds()
+	elapsed := max(now.Sub(b.updatedAt), 0).Seconds()
 	b.level = min(b.level+elapsed*min(b.rate, rate), rate*burstTime.Seconds())
 	b.rate = rate
-	if now.After(b.at) {
-		b.at = now
+	if now.After(b.updatedAt) {
+		b.updatedAt = now
 	}
 }
 
-// spend takes tokens if they are there; more than the burst is let through by a full bucket, which is then in debt.
+// spend takes tokens if the bucket holds them, and otherwise returns the time to wait. A full bucket lets more than
+// the burst through and is then in debt.
 func (b *bucket) spend(tokens float64) (time.Duration, bool) {
 	if b.rate <= 0 {
 		return LeaseTime, false
--- a/limits/handover.go
+++ b/limits/handover.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// Leave gives up all parts that the instance owns, for good; their next owners may ask for a handover.
+// Leave gives up all shares that the instance owns, permanently; their next owners may ask for a handover.
 func (t *Teams) Leave(now time.Time) {
 	t.leaving = true
 	for _, a := range t.accounts {
-		a.left = a.left || a.own > 0
-		a.setOwn(now, 0)
+		a.departed = a.departed || a.ownRate > 0
+		a.setOwnRate(now, 0)
 	}
 }
 
-// setOwner notes the owner of the own region's part.
+// setOwner records the owner of the own region's share.
 func (a *account) setOwner(owner string) {
 	if owner == a.owner {
 		return
 	}
-	a.former = ""
+	a.previousOwner = ""
 	if owner == a.self {
-		a.former = a.owner
+		a.previousOwner = a.owner
 	}
 	a.owner = owner
 }
 
-// awaits returns the former owner if the instance owns its part but waits for it to be free.
-func (a *account) awaits(now time.Time) (former string, ok bool) {
-	return a.former, a.former != "" && a.own > 0 && now.Before(a.ownFrom)
+// awaitsHandover returns the previous owner if the instance owns its region's share but still waits for it to be free.
+func (a *account) awaitsHandover(now time.Time) (previousOwner string, ok bool) {
+	return a.previousOwner, a.previousOwner != "" && a.ownRate > 0 && now.Before(a.ownUsableFrom)
 }
 
-// askHandover returns an ask to the former owner.
-func (a *account) askHandover(now time.Time, former string) Ask {
-	ask := a.ask(now, former, 0)
+// newHandoverAsk returns an ask for a handover to the previous owner.
+func (a *account) newHandoverAsk(now time.Time, previousOwner string) Ask {
+	ask := a.newAsk(now, previousOwner, 0)
 	ask.Handover = true
 	return ask
 }
 
-// handOver tells the first instance that asks when nothing of the part that was left is in use: when all loans have
-// ended, and when the instance itself could have begun to use it.
-func (a *account) handOver(now time.Time, ask Ask) (Grant, bool) {
-	if !a.left || a.heir != "" && a.heir != ask.Borrower {
+// grantHandover answers the first instance that asks with the time after which nothing of the share that was given up
+// is in use: when all leases have expired and when the instance itself could have started to use it.
+func (a *account) grantHandover(now time.Time, ask Ask) (Grant, bool) {
+	if !a.departed || a.successor != "" && a.successor != ask.Borrower {
 		return Grant{}, false
 	}
-	a.heir = ask.Borrower
-	g := Grant{Team: ask.Team, Lender: a.self, Borrower: ask.Borrower, Number: ask.Number, Duration: max(a.ownFrom.Sub(now), 0), Handover: true}
-	for _, loans := range a.loans {
-		for _, l := range loans {
-			g.Duration = max(g.Duration, l.ends.Sub(now))
+	a.successor = ask.Borrower
+	g := Grant{Team: ask.Team, Lender: a.self, Borrower: ask.Borrower, Number: ask.Number, Duration: max(a.ownUsableFrom.Sub(now), 0), Handover: true}
+	for _, leases := range a.leases {
+		for _, l := range leases {
+			g.Duration = max(g.Duration, l.expiresAt.Sub(now))
 		}
 	}
 	return g, true
 }
 
-// takeOver shortens the wait for the part to what the former owner has told. An answer that took longer than a loan lasts
-// has no effect, as the former owner may have returned.
-func (a *account) takeOver(now time.Time, p pending, g Grant) {
-	if g.Lender != a.former || now.Sub(p.sentAt) > LeaseTime {
+// acceptHandover shortens the wait for the share to the time that the previous owner has reported. An answer that took
+// longer than a lease lasts has no effect, as the previous owner may have returned.
+func (a *account) acceptHandover(now time.Time, p pendingAsk, g Grant) {
+	if g.Lender != a.previousOwner || now.Sub(p.sentAt) > LeaseTime {
 		return
 	}
-	a.former = ""
-	if free := now.Add(g.Duration + driftMargin); free.Before(a.ownFrom) {
-		a.ownFrom = free
+	a.previousOwner = ""
+	if free := now.Add(g.Duration + driftMargin); free.Before(a.ownUsableFrom) {
+		a.ownUsableFrom = free
 	}
-	a.update(now)
+	a.updateBucket(now)
 }
--- a/limits/handover_test.go
+++ b/limits/handover_test.go
@@ -9,25 +9,25 @@
 	"pgregory.net/rapid"
 )
 
-// newsDelay bounds the time until an instance has heard of another one's state.
-const newsDelay = 3 * time.Second
+// maxUpdateDelay bounds the time until an instance receives another one's state.
+const maxUpdateDelay = 3 * time.Second
 
-// news is an instance's state that another one hears of.
-type news struct {
+// stateUpdate is an instance's state that is sent to another one.
+type stateUpdate struct {
 	arrives time.Time
 	to      int
-	about   int
+	subject int
 	owns    bool
 }
 
-// region is the instances of one region, which leave, die and return, and hear of each other late.
+// region is the instances of one region, which leave, crash and return, and receive each other's state late.
 type region struct {
 	*network
 	up   []bool
 	left []bool
-	// owns holds for each instance which of them may own parts, as far as it has heard.
-	owns [][]bool
-	told []news
+	// knownOwners holds for each instance which of them may own shares, as far as it knows.
+	knownOwners    [][]bool
+	pendingUpdates []stateUpdate
 }
 
 func newRegion(instances int) *region {
@@ -43,14 +43,14 @@
 		for i := range view {
 			view[i] = true
 		}
-		r.owns = append(r.owns, view)
+		r.knownOwners = append(r.knownOwners, view)
 	}
 	return r
 }
 
 func (r *region) observe(i int, now time.Time) {
 	var members []Member
-	for m, owns := range r.owns[i] {
+	for m, owns := range r.knownOwners[i] {
 		if owns {
 			members = append(members, r.members[m])
 		}
@@ -58,43 +58,43 @@
 	r.teams[i].Observe(r.local(i, now), []Limit{{Team: "club", HomeRegion: "lahore", TokensPerSecond: limit}}, []string{"lahore"}, members)
 }
 
-// tell lets all instances hear of a state; the instance itself knows it at once.
-func (r *region) tell(now time.Time, about int, owns bool, delay func() time.Duration) {
-	r.owns[about][about] = owns
+// broadcast sends a state to all instances; the instance itself knows it at once.
+func (r *region) broadcast(now time.Time, about int, owns bool, delay func() time.Duration) {
+	r.knownOwners[about][about] = owns
 	for i := range r.members {
 		if i != about {
-			r.told = append(r.told, news{arrives: now.Add(delay()), to: i, about: about, owns: owns})
+			r.pendingUpdates = append(r.pendingUpdates, stateUpdate{arrives: now.Add(delay()), to: i, subject: about, owns: owns})
 		}
 	}
 }
 
-// hear delivers the news of now, in the order in which they were told.
-func (r *region) hear(now time.Time) {
-	var later []news
-	for _, n := range r.told {
+// receive delivers the updates that have arrived by now, in the order in which they were sent.
+func (r *region) receive(now time.Time) {
+	var later []stateUpdate
+	for _, n := range r.pendingUpdates {
 		if n.arrives.After(now) {
 			later = append(later, n)
 			continue
 		}
-		r.owns[n.to][n.about] = n.owns
+		r.knownOwners[n.to][n.subject] = n.owns
 	}
-	r.told = later
+	r.pendingUpdates = later
 }
 
 func (r *region) leave(i int, now time.Time, delay func() time.Duration) {
 	r.teams[i].Leave(r.local(i, now))
 	r.left[i] = true
-	r.tell(now, i, false, delay)
+	r.broadcast(now, i, false, delay)
 }
 
 // stop ends a process: its accounts, the messages to it, and the answers to its asks are lost with its connections.
 func (r *region) stop(i int, now time.Time, delay func() time.Duration) {
 	r.up[i] = false
 	if !r.left[i] {
-		r.tell(now, i, false, delay)
+		r.broadcast(now, i, false, delay)
 	}
 	r.teams[i] = New(r.members[i])
-	var others []envelope
+	var others []message
 	for _, e := range r.sent {
 		if e.to != i && (e.ask == nil || e.ask.Borrower != r.members[i].Instance) {
 			others = append(others, e)
@@ -110,16 +110,16 @@
 	return sum
 }
 
-// TestHandover checks that the rates in use never sum to more than the limit while instances leave, die and return, and
-// messages are lost, late and doubled.
+// TestHandover checks that the rates in use never sum to more than the limit while instances leave, crash and return,
+// and messages are lost, delayed and duplicated.
 func TestHandover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(rapid.IntRange(2, 4).Draw(t, "instances"))
 		for i := range r.skew {
 			r.skew[i] = rapid.Float64Range(0.99, 1.01).Draw(t, "skew")
 		}
-		hears := func() time.Duration {
-			return time.Duration(rapid.SampledFrom([]int{0, 100, 400, 1500, int(newsDelay.Milliseconds())}).Draw(t, "news")) * time.Millisecond
+		updateDelay := func() time.Duration {
+			return time.Duration(rapid.SampledFrom([]int{0, 100, 400, 1500, int(maxUpdateDelay.Milliseconds())}).Draw(t, "updateDelay")) * time.Millisecond
 		}
 		delay := func() []time.Duration {
 			var list []time.Duration
@@ -133,7 +133,7 @@
 		stopped := make([]time.Time, len(r.members))
 		for range rapid.IntRange(40, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{500, 300, 100, 700}).Draw(t, "gap")) * time.Millisecond)
-			r.hear(now)
+			r.receive(now)
 			r.deliver(now, delay)
 			for i := range r.teams {
 				if r.up[i] {
@@ -150,14 +150,14 @@
 			event := rapid.SampledFrom(events).Draw(t, "event")
 			switch {
 			case !r.up[i]:
-				if now.Sub(stopped[i]) > newsDelay && event == "return" {
+				if now.Sub(stopped[i]) > maxUpdateDelay && event == "return" {
 					r.up[i], r.left[i] = true, false
-					r.tell(now, i, true, hears)
+					r.broadcast(now, i, true, updateDelay)
 				}
 			case event == "leave" && !r.left[i]:
-				r.leave(i, now, hears)
+				r.leave(i, now, updateDelay)
 			case event == "stop":
-				r.stop(i, now, hears)
+				r.stop(i, now, updateDelay)
 				stopped[i] = now
 			}
 			if sum := r.sum(now); sum > limit*1.0001 {
@@ -167,8 +167,8 @@
 	})
 }
 
-// TestHandoverFreesPart checks how long a region's part lies idle after its owner has left, if it hands the part over,
-// if all of its answers are lost, and if it dies.
+// TestHandoverFreesPart checks how long a region's share is unused after its owner has left: if the owner hands it
+// over, if all of its answers are lost, and if it crashes.
 func TestHandoverFreesPart(t *testing.T) {
 	tests := []struct {
 		name string
@@ -186,21 +186,21 @@
 			owner, _ := Owner("club", "lahore", r.members)
 			leaver := r.index(owner)
 			now := start
-			at := func() time.Duration { return 200 * time.Millisecond }
-			quick := func() []time.Duration { return []time.Duration{10 * time.Millisecond} }
+			updateDelay := func() time.Duration { return 200 * time.Millisecond }
+			fixedDelay := func() []time.Duration { return []time.Duration{10 * time.Millisecond} }
 			step := func() {
 				now = now.Add(50 * time.Millisecond)
-				r.hear(now)
+				r.receive(now)
 				if tt.lost && r.left[leaver] {
 					r.sent = nil
 				}
-				r.deliver(now, quick)
+				r.deliver(now, fixedDelay)
 				for i := range r.teams {
 					if r.up[i] {
 						r.observe(i, now)
 						r.teams[i].Spend(r.local(i, now), "club", 100)
 						if now.Sub(start)%(500*time.Millisecond) == 0 {
-							r.ask(i, now, quick)
+							r.ask(i, now, fixedDelay)
 						}
 					}
 				}
@@ -209,21 +209,21 @@
 				step()
 			}
 			if tt.dies {
-				r.stop(leaver, now, at)
+				r.stop(leaver, now, updateDelay)
 			} else {
-				r.leave(leaver, now, at)
+				r.leave(leaver, now, updateDelay)
 			}
 			left := now
 			ready := false
 			for !ready && now.Before(left.Add(20*time.Second)) {
 				step()
 				for i := range r.teams {
-					ready = ready || i != leaver && r.teams[i].accounts["club"].owned(r.local(i, now)) > 0
+					ready = ready || i != leaver && r.teams[i].accounts["club"].usableOwnRate(r.local(i, now)) > 0
 				}
 			}
-			t.Logf("the part is free %v after its owner went", now.Sub(left))
+			t.Logf("the share is free %v after its owner left", now.Sub(left))
 			if !ready || now.Sub(left) > tt.idle || tt.idle >= takeoverTime && now.Sub(left) < takeoverTime {
-				t.Errorf("the part is free after %v, want %v at most", now.Sub(left), tt.idle)
+				t.Errorf("the share is free after %v, want %v at most", now.Sub(left), tt.idle)
 			}
 		})
 	}
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -14,20 +14,20 @@
 
 var regions = []string{"lahore", "karachi", "peshawar"}
 
-// envelope is a message under way.
-type envelope struct {
+// message is an ask or a grant in transit.
+type message struct {
 	arrives time.Time
 	to      int
 	ask     *Ask
 	grant   *Grant
 }
 
-// network is instances that exchange messages which are lost, late, doubled and cut off.
+// network is instances whose messages are lost, delayed, duplicated and cut off.
 type network struct {
 	members []Member
 	teams   []*Teams
 	skew    []float64
-	sent    []envelope
+	sent    []message
 	cut     map[string]bool
 	spent   float64
 }
@@ -45,7 +45,7 @@
 	return n
 }
 
-// local returns an instance's clock.
+// local returns the time on an instance's clock.
 func (n *network) local(i int, now time.Time) time.Time {
 	return start.Add(time.Duration(float64(now.Sub(start)) * n.skew[i]))
 }
@@ -63,7 +63,7 @@
 	return -1
 }
 
-// deliver delivers what arrives by now.
+// deliver delivers the messages that arrive by now.
 func (n *network) deliver(now time.Time, delay func() []time.Duration) {
 	waiting := n.sent
 	n.sent = nil
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, d := range delay() {
-		n.sent = append(n.sent, envelope{arrives: now.Add(d), to: to, ask: ask, grant: grant})
+		n.sent = append(n.sent, message{arrives: now.Add(d), to: to, ask: ask, grant: grant})
 	}
 }
 
@@ -106,8 +106,8 @@
 }
 
 // TestNeverMoreThanLimit checks that the rates in use never sum to more than the limit, and that what is spent stays
-// within the limit, the burst and one request of each instance, under loss, delay, doubling, cut regions and clocks
-// that differ by 2 in 100.
+// within the limit, the burst and one request of each instance, under loss, delay, duplication, isolated regions and
+// clocks that differ by 2 in 100.
 func TestNeverMoreThanLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(rapid.IntRange(1, 3).Draw(t, "perRegion"))
@@ -156,21 +156,21 @@
 }
 
 // TestDemandMovesShares checks that the whole limit serves the region that asks, and that an isolated region keeps its
-// part and gets the rest again later.
+// share and gets the rest back later.
 func TestDemandMovesShares(t *testing.T) {
 	n := newNetwork(2)
-	quick := func() []time.Duration { return []time.Duration{10 * time.Millisecond} }
+	fixedDelay := func() []time.Duration { return []time.Duration{10 * time.Millisecond} }
 	now := start
 	run := func(d time.Duration) float64 {
 		before := n.spent
 		began := now
 		for now.Before(began.Add(d)) {
 			now = now.Add(50 * time.Millisecond)
-			n.deliver(now, quick)
+			n.deliver(now, fixedDelay)
 			if now.Sub(start).Milliseconds()%500 == 0 {
 				for i := range n.teams {
 					n.observe(i, now)
-					n.ask(i, now, quick)
+					n.ask(i, now, fixedDelay)
 				}
 			}
 			for i, m := range n.members {
@@ -197,7 +197,8 @@
 	}
 }
 
-// TestLoanEndsAtBorrowerFirst lets the lender's clock run faster by 2 in 100 and answers at once.
+// TestLoanEndsAtBorrowerFirst checks that a lease expires at the borrower first if the lender's clock runs faster by 2
+// in 100 and the lender answers at once.
 func TestLoanEndsAtBorrowerFirst(t *testing.T) {
 	n := newNetwork(2)
 	owner, _ := Owner("club", "lahore", n.members)
@@ -218,7 +219,7 @@
 	for ended := now.Add(2 * LeaseTime); now.Before(ended); now = now.Add(time.Millisecond) {
 		sum := n.teams[lender].Rate(n.local(lender, now), "club") + n.teams[borrower].Rate(n.local(borrower, now), "club")
 		if sum > limit*homeShare {
-			t.Fatalf("%v are in use of %v", sum, limit*homeShare)
+			t.Fatalf("a rate of %v is in use of %v", sum, limit*homeShare)
 		}
 	}
 }
@@ -232,7 +233,7 @@
 		now, spent, largest := start, 0.0, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "gap")) * time.Millisecond)
-			b.set(now, rapid.SampledFrom(rates).Draw(t, "rate"))
+			b.setRate(now, rapid.SampledFrom(rates).Draw(t, "rate"))
 			tokens := rapid.Float64Range(1, 2000).Draw(t, "tokens")
 			if _, ok := b.spend(tokens); ok {
 				spent += tokens
@@ -252,7 +253,7 @@
 			sum += Part(Limit{HomeRegion: home, TokensPerSecond: limit}, region, regions)
 		}
 		if sum < limit-1e-9 || sum > limit+1e-9 {
-			t.Errorf("parts sum to %v with home %q", sum, home)
+			t.Errorf("shares sum to %v with home %q", sum, home)
 		}
 	}
 }
--- a/limits/teams.go
+++ b/limits/teams.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limit is a team's limit, in tokens a second.
+// Limit is a team's limit, in tokens per second.
 type Limit struct {
 	Team            string
 	HomeRegion      string
@@ -21,23 +21,23 @@
 	Region   string
 }
 
-// Teams holds the accounts of one instance.
+// Teams holds the accounts of all teams at one instance.
 type Teams struct {
 	self     Member
 	accounts map[string]*account
 	limits   map[string]Limit
-	// owners are the owners of each team's parts that are known, by region.
+	// owners holds the known owners of each team's shares, by team and region.
 	owners map[string]map[string]string
-	// leaving tells that the instance owns nothing any more.
+	// leaving reports that the instance owns nothing any more.
 	leaving bool
 }
 
-// New returns the accounts of an instance that knows no team.
+// New returns the accounts of an instance without known teams.
 func New(self Member) *Teams {
 	return &Teams{self: self, accounts: map[string]*account{}, limits: map[string]Limit{}}
 }
 
-// Owner returns the instance that owns the region's part of a team's limit, by the highest of the hashes of team and
+// Owner returns the instance that owns the region's share of a team's limit: the one with the highest hash of team and
 // instance.
 func Owner(team, region string, members []Member) (owner string, ok bool) {
 	var highest uint64
@@ -53,7 +53,7 @@
 	return owner, ok
 }
 
-// Part returns a region's part of a limit: the parts of all regions sum to the limit.
+// Part returns a region's share of a limit, in tokens per second; the shares of all regions sum to the limit.
 func Part(l Limit, region string, regions []string) float64 {
 	if !slices.Contains(regions, region) {
 		return 0
@@ -71,7 +71,7 @@
 	return l.TokensPerSecond * (1 - homeShare) / (n - 1)
 }
 
-// Observe takes the limits, all regions, and the live instances, this one included, that are known now.
+// Observe updates the limits, all regions, and the known live instances, including this one.
 func (t *Teams) Observe(now time.Time, limits []Limit, regions []string, members []Member) {
 	t.limits = map[string]Limit{}
 	t.owners = map[string]map[string]string{}
@@ -80,7 +80,7 @@
 			continue
 		}
 		t.limits[l.Team] = l
-		t.observeOne(now, l, regions, members)
+		t.observeTeam(now, l, regions, members)
 	}
 	for team := range t.accounts {
 		if _, ok := t.limits[team]; !ok {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (t *Teams) observeOne(now time.Time, l Limit, regions []string, members []Member) {
+func (t *Teams) observeTeam(now time.Time, l Limit, regions []string, members []Member) {
 	a := t.accounts[l.Team]
 	if a == nil {
 		a = newAccount(t.self.Instance, l.Team)
@@ -102,95 +102,96 @@
 		}
 	}
 	t.owners[l.Team] = owners
-	own := 0.0
+	ownRate := 0.0
 	a.setOwner(owners[t.self.Region])
 	if owners[t.self.Region] == t.self.Instance && !t.leaving {
-		own = Part(l, t.self.Region, regions)
+		ownRate = Part(l, t.self.Region, regions)
 	}
-	a.idle = l.TokensPerSecond * idleShare / float64(max(len(members), 1))
-	a.setOwn(now, own)
+	a.idleRate = l.TokensPerSecond * idleShare / float64(max(len(members), 1))
+	a.setOwnRate(now, ownRate)
 }
 
-// Asks returns what to ask of the owners now: of that of the own region what there is demand for, and of the others
-// what the own region has not given.
+// Asks returns the asks to the owners: to the own region's owner for the desired rate, to the other regions' owners
+// for what the own region has not granted, and to a previous owner for a handover.
 func (t *Teams) Asks(now time.Time) []Ask {
 	var asks []Ask
 	for _, team := range slices.Sorted(maps.Keys(t.accounts)) {
 		a := t.accounts[team]
-		want := a.want(now)
+		desired := a.desiredRate(now)
 		owner := t.owners[team][t.self.Region]
 		if owner != "" && owner != t.self.Instance {
-			asks = append(asks, a.ask(now, owner, want))
+			asks = append(asks, a.newAsk(now, owner, desired))
 		}
-		if former, ok := a.awaits(now); ok {
-			asks = append(asks, a.askHandover(now, former))
+		if previousOwner, ok := a.awaitsHandover(now); ok {
+			asks = append(asks, a.newHandoverAsk(now, previousOwner))
 		}
-		lacking := max(a.demand.rate(now)*demandSpare-a.local(now, owner), 0)
+		shortfall := max(a.demand.rate(now)*demandHeadroomFactor-a.localRate(now, owner), 0)
 		for _, region := range slices.Sorted(maps.Keys(t.owners[team])) {
 			other := t.owners[team][region]
-			if region != t.self.Region && (lacking > 0 || a.debts[other].rate > 0) {
-				asks = append(asks, a.ask(now, other, lacking))
+			if region != t.self.Region && (shortfall > 0 || a.borrowedLeases[other].rate > 0) {
+				asks = append(asks, a.newAsk(now, other, shortfall))
 			}
 		}
 	}
 	return asks
 }
 
-// local returns the rate that the own region gives the instance.
-func (a *account) local(now time.Time, owner string) float64 {
+// localRate returns the rate that the instance has from its own region.
+func (a *account) localRate(now time.Time, owner string) float64 {
 	if owner == a.self {
-		return max(a.owned(now)-a.lent(now), 0)
+		return max(a.usableOwnRate(now)-a.leasedOut(now), 0)
 	}
-	if d, ok := a.debts[owner]; ok && now.Before(d.ends) {
+	if d, ok := a.borrowedLeases[owner]; ok && now.Before(d.expiresAt) {
 		return d.rate
 	}
 	return 0
 }
 
-// Lend answers an ask; ok is false if the team has no limit here.
+// Lend answers an ask; ok is false if the team has no limit here, the ask is for another lender, or a handover cannot
+// be granted.
 func (t *Teams) Lend(now time.Time, ask Ask) (g Grant, ok bool) {
 	a := t.accounts[ask.Team]
 	if a == nil || ask.Lender != t.self.Instance {
 		return Grant{}, false
 	}
 	if ask.Handover {
-		return a.handOver(now, ask)
+		return a.grantHandover(now, ask)
 	}
 	return a.lend(now, ask), true
 }
 
-// Take begins to use a grant; one that is late or not for this instance has no effect.
+// Take starts to use a grant; one that is late or not for this instance has no effect.
 func (t *Teams) Take(now time.Time, g Grant) {
 	if a := t.accounts[g.Team]; a != nil {
-		a.take(now, g)
+		a.acceptGrant(now, g)
 	}
 }
 
-// Spend takes tokens of the team's limit; if ok is false, the caller may come back after the time.
+// Spend takes tokens of the team's limit; if ok is false, the caller may retry after retryAfter.
 func (t *Teams) Spend(now time.Time, team string, tokens int) (retryAfter time.Duration, ok bool) {
 	a := t.accounts[team]
 	if a == nil {
 		return 0, true
 	}
 	a.demand.add(now, float64(tokens))
-	a.update(now)
+	a.updateBucket(now)
 	return a.bucket.spend(float64(tokens))
 }
 
-// Settle corrects what a request has spent to what it has used.
+// Settle corrects the tokens that a request has spent to those that it has used.
 func (t *Teams) Settle(now time.Time, team string, spent, used int) {
 	a := t.accounts[team]
 	if a == nil {
 		return
 	}
-	a.update(now)
+	a.updateBucket(now)
 	a.bucket.level = min(a.bucket.level+float64(spent-used), a.bucket.rate*burstTime.Seconds())
 }
 
-// Rate returns the rate that the instance may use of the team's limit now.
+// Rate returns the rate that the instance may use of the team's limit now, in tokens per second.
 func (t *Teams) Rate(now time.Time, team string) float64 {
 	if a := t.accounts[team]; a != nil {
-		return a.available(now)
+		return a.availableRate(now)
 	}
 	return 0
 }
--- a/retry/allowance.go
+++ b/retry/allowance.go
@@ -2,65 +2,67 @@
 
 import "time"
 
-// allowanceSteps is the number of steps in which an allowance's window slides.
-const allowanceSteps = 20
+// bucketsPerWindow is the number of buckets in which an allowance counts the attempts of its sliding window.
+const bucketsPerWindow = 20
 
-// Allowance bounds repeats to a share of first tries, plus a reserve, in every window of time.
+// Allowance bounds retries to a share of first attempts, plus a reserve, in every sliding window of time.
 //
-// Whenever a repeat is allowed, the repeats of the window that ends then are within the bound of the first tries of the
-// same window. Each holder of a common allowance counts its own first tries, and their reserves add up to the common one.
+// Whenever a retry is allowed, the retries in the window that ends then are within the bound given by the first
+// attempts in the same window. Each holder of a common allowance counts its own first attempts, and the reserves of
+// all holders add up to the common reserve.
 type Allowance struct {
 	window  time.Duration
 	ratio   float64
 	reserve float64
-	steps   []allowanceStep
+	buckets []allowanceBucket
 }
 
-// allowanceStep counts what happened in the step of time that begins at a moment.
-type allowanceStep struct {
-	at             time.Time
-	first, repeats int
+// allowanceBucket counts the attempts in the interval that begins at start.
+type allowanceBucket struct {
+	start                  time.Time
+	firstAttempts, retries int
 }
 
-// NewAllowance returns an allowance in which repeats are at most ratio times the first tries plus the reserve.
+// NewAllowance returns an allowance in which retries are at most ratio times the first attempts plus the reserve.
 func NewAllowance(window time.Duration, ratio float64) *Allowance {
 	return &Allowance{window: window, ratio: ratio}
 }
 
-// SetReserve sets the reserve of this holder.
+// SetReserve sets this holder's part of the reserve, in retries.
 func (a *Allowance) SetReserve(reserve float64) { a.reserve = reserve }
 
-// step returns the present step. A step is kept until its last repeat is older than the window.
-func (a *Allowance) step(now time.Time) *allowanceStep {
+// currentBucket returns the bucket of the present interval. A bucket is kept until its last retry is older than the
+// window.
+func (a *Allowance) currentBucket(now time.Time) *allowanceBucket {
 	i := 0
-	for i < len(a.steps) && now.Sub(a.steps[i].at) >= a.window+a.window/allowanceSteps {
+	for i < len(a.buckets) && now.Sub(a.buckets[i].start) >= a.window+a.window/bucketsPerWindow {
 		i++
 	}
-	a.steps = a.steps[i:]
-	if n := len(a.steps); n > 0 && now.Sub(a.steps[n-1].at) < a.window/allowanceSteps {
-		return &a.steps[n-1]
+	a.buckets = a.buckets[i:]
+	if n := len(a.buckets); n > 0 && now.Sub(a.buckets[n-1].start) < a.window/bucketsPerWindow {
+		return &a.buckets[n-1]
 	}
-	a.steps = append(a.steps, allowanceStep{at: now})
-	return &a.steps[len(a.steps)-1]
+	a.buckets = append(a.buckets, allowanceBucket{start: now})
+	return &a.buckets[len(a.buckets)-1]
 }
 
-// First counts a first try.
-func (a *Allowance) First(now time.Time) { a.step(now).first++ }
+// First counts a first attempt.
+func (a *Allowance) First(now time.Time) { a.currentBucket(now).firstAttempts++ }
 
-// Take counts a repeat if it is allowed, and reports whether it is.
+// Take counts a retry if it is allowed, and reports whether it is.
 func (a *Allowance) Take(now time.Time) bool {
-	current := a.step(now)
-	first, repeats := 0, 0
-	for _, s := range a.steps {
-		// A step that began before the window may hold first tries from before it.
-		if now.Sub(s.at) < a.window {
-			first += s.first
+	bucket := a.currentBucket(now)
+	first, retries := 0, 0
+	for _, s := range a.buckets {
+		// A bucket that began before the window may hold first attempts from before it.
+		if now.Sub(s.start) < a.window {
+			first += s.firstAttempts
 		}
-		repeats += s.repeats
+		retries += s.retries
 	}
-	if float64(repeats+1) > a.ratio*float64(first)+a.reserve {
+	if float64(retries+1) > a.ratio*float64(first)+a.reserve {
 		return false
 	}
-	current.repeats++
+	bucket.retries++
 	return true
 }
--- a/retry/allowance_test.go
+++ b/retry/allowance_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestAllowance repeats as often as it may: whenever a repeat is allowed, the window that ends with it is within the bound.
+// TestAllowance retries as often as allowed and checks that the window that ends with each retry is within the bound.
 func TestAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, ratio, reserve = 10 * time.Second, 0.2, 4.0
@@ -35,7 +35,7 @@
 				}
 				repeats = append(repeats, now)
 				if first, n := within(firsts), within(repeats); float64(n) > ratio*float64(first)+reserve {
-					t.Fatalf("%d repeats of %d first tries", n, first)
+					t.Fatalf("%d retries of %d first attempts", n, first)
 				}
 			}
 		}
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Failure tells what is known of a failed attempt.
+// Failure classifies a failed attempt by what is known of its execution.
 type Failure int
 
 // Kinds of failures.
 const (
-	// Final says that another attempt would fail alike.
+	// Final means that another attempt would fail in the same way.
 	Final Failure = iota
-	// NotRun says that no part of the attempt can have run.
+	// NotRun means that no part of the attempt can have run.
 	NotRun
-	// Doubtful says that the attempt may have run.
+	// Doubtful means that the attempt may have run.
 	Doubtful
-	// Unreached says that no connection was made, so that the attempt made no work anywhere.
+	// Unreached means that no connection was made, so that the attempt caused no work anywhere.
 	Unreached
 )
 
-// Reason tells why a request is tried again or not.
+// Reason states why a request is retried or not.
 type Reason string
 
-// Reasons.
+// Reasons for a decision.
 const (
 	Retry         Reason = "retry"
 	FinalFailure  Reason = "finalFailure"
@@ -31,7 +31,7 @@
 	TooMany       Reason = "tooManyAttempts"
 	NoTime        Reason = "noTimeLeft"
 	NoBudget      Reason = "noBudget"
-	// Paced says that the request asks again after a delay.
+	// Paced means that the decision is to be made again after a delay.
 	Paced Reason = "paced"
 )
 
@@ -39,17 +39,18 @@
 type Attempts struct {
 	// Made is the number of attempts that have failed.
 	Made int
-	// Unreached is the number of those that reached nothing, the last one included.
+	// Unreached is the number of those that made no connection, including the last one.
 	Unreached int
-	// Fruitless is the number of failed attempts since the last new piece that reached an endpoint and brought none.
+	// Fruitless is the number of failed attempts since the last new piece that reached an endpoint and yielded no
+	// piece.
 	Fruitless int
-	// Repeatable tells whether the request may run more than once.
+	// Repeatable reports whether the request may run more than once.
 	Repeatable bool
 	Deadline   time.Time
 }
 
-// Decide returns whether the request is tried again after the failure, and after which delay. It spends budget only
-// if it answers Retry, and none for an attempt that reached nothing, as the budget bounds work.
+// Decide returns whether the request is retried after the failure, and after which delay. It spends budget only if it
+// returns Retry, and none for an attempt that made no connection, as the budget bounds work.
 func Decide[K comparable](now time.Time, a Attempts, f Failure, b *Budget[K], k K, rng *rand.Rand) (time.Duration, Reason) {
 	if f == Unreached {
 		return decideUnreached(now, a)
@@ -70,7 +71,7 @@
 	return delay, Retry
 }
 
-// decideUnreached tries again at once, a bounded number of times.
+// decideUnreached retries at once, up to maxUnreached times.
 func decideUnreached(now time.Time, a Attempts) (time.Duration, Reason) {
 	switch {
 	case a.Unreached >= maxUnreached:
@@ -81,7 +82,7 @@
 	return 0, Retry
 }
 
-// Backoff returns a delay drawn evenly from zero to a bound that doubles with each attempt (full jitter: Brooker,
+// Backoff returns a delay drawn uniformly from zero to a bound that doubles with each attempt (full jitter: Brooker,
 // "Exponential backoff and jitter", 2015).
 func Backoff(made int, rng *rand.Rand) time.Duration {
 	bound := min(firstDelay<<max(made-1, 0), maxDelay)
--- a/retry/limits.go
+++ b/retry/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits of the retries of a request.
+// Limits on the retries of a request.
 const (
 	maxAttempts  = 4
 	maxUnreached = 16
@@ -10,28 +10,29 @@
 	maxDelay     = time.Second
 )
 
-// Limits of the resumes of streams; maxResumes is the number of attempts of one stream, and resumesPerSecond the rate at
-// which each open stream earns resumes.
+// Limits on the resumes of streams; maxResumes is the number of attempts of one stream, and resumesPerSecond the rate
+// at which each open stream earns resumes.
 const (
 	maxResumes       = 64
 	resumeReserve    = 3
 	resumesPerSecond = 0.1
-	// wholeResume is a resume less the rounding of what was earned for it.
-	wholeResume = 1 - 1e-9
+	// minResumeBalance is the balance that pays for one resume: one, less the rounding error of what was earned for
+	// it.
+	minResumeBalance = 1 - 1e-9
 )
 
-// Limits of a budget, in retries.
+// Limits of a Budget, in retries.
 const (
 	budgetReserve = 3
 	budgetBurst   = 20
 )
 
-// Limits of a breaker.
+// Limits of a circuit breaker.
 const (
 	tripFailures   = 3
 	firstOpenTime  = time.Second
 	maxOpenTime    = 30 * time.Second
 	openTimeJitter = 0.25
-	// probeTimeout is how long a probe that does not end keeps others from being sent.
+	// probeTimeout is how long an unfinished probe prevents another one.
 	probeTimeout = 10 * time.Second
 )
--- a/retry/resumes.go
+++ b/retry/resumes.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// Resumes bounds the resumes of streams in mid-answer: each stream brings one with it, and open streams earn more at a
-// rate in proportion to their number. What is not spent is kept up to one for each open stream and a small reserve.
+// Resumes bounds the resumes of streams in mid-answer: each new stream adds one to the balance, and open streams earn
+// more at a rate proportional to their number. The balance is at most one for each open stream and a small reserve.
 type Resumes struct {
-	open    int
-	balance float64
-	at      time.Time
+	openStreams int
+	balance     float64
+	updatedAt   time.Time
 }
 
-// NewResumes returns the resumes of an instance without open streams.
-func NewResumes(now time.Time) *Resumes { return &Resumes{balance: resumeReserve, at: now} }
+// NewResumes returns the resume budget of an instance without open streams.
+func NewResumes(now time.Time) *Resumes { return &Resumes{balance: resumeReserve, updatedAt: now} }
 
 // Open counts a stream whose answer has begun.
 func (r *Resumes) Open(now time.Time) {
-	r.earn(now)
-	r.open++
+	r.accrue(now)
+	r.openStreams++
 	r.balance++
 }
 
 // Close counts the end of a stream.
 func (r *Resumes) Close(now time.Time) {
-	r.earn(now)
-	r.open--
-	r.balance = min(r.balance, r.most())
+	r.accrue(now)
+	r.openStreams--
+	r.balance = min(r.balance, r.maxBalance())
 }
 
-// Wait returns the time until a resume may be made if no other one is made and no stream ends; it is zero if one may be
-// made now.
+// Wait returns the time until a resume may be made if no other one is made and no stream ends; it is zero if one may
+// be made now.
 func (r *Resumes) Wait(now time.Time) time.Duration {
-	r.earn(now)
-	if r.balance >= wholeResume {
+	r.accrue(now)
+	if r.balance >= minResumeBalance {
 		return 0
 	}
-	seconds := (1 - r.balance) / (resumesPerSecond * float64(max(r.open, 1)))
+	seconds := (1 - r.balance) / (resumesPerSecond * float64(max(r.openStreams, 1)))
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-// Take spends one resume, and reports false if there is none.
+// Take spends one resume, and reports false if less than one is left.
 func (r *Resumes) Take(now time.Time) bool {
-	r.earn(now)
-	if r.balance < wholeResume {
+	r.accrue(now)
+	if r.balance < minResumeBalance {
 		return false
 	}
 	r.balance--
 	return true
 }
 
-func (r *Resumes) earn(now time.Time) {
-	elapsed := max(now.Sub(r.at), 0)
-	r.at = now
-	r.balance = min(r.balance+elapsed.Seconds()*resumesPerSecond*float64(r.open), r.most())
+func (r *Resumes) accrue(now time.Time) {
+	elapsed := max(now.Sub(r.updatedAt), 0)
+	r.updatedAt = now
+	r.balance = min(r.balance+elapsed.Seconds()*resumesPerSecond*float64(r.openStreams), r.maxBalance())
 }
 
-func (r *Resumes) most() float64 { return float64(r.open) + resumeReserve }
+func (r *Resumes) maxBalance() float64 { return float64(r.openStreams) + resumeReserve }
 
-// DecideResume returns whether a stream in mid-answer is resumed after a failure, and after which delay. If it answers
-// Paced, the stream asks again after the delay; it spends a resume only if it answers Retry, and none for an attempt that
-// reached nothing.
+// DecideResume returns whether a stream in mid-answer is resumed after a failure, and after which delay. If it returns
+// Paced, the caller is to decide again after the delay. It spends a resume only if it returns Retry, and none for an
+// attempt that made no connection.
 func DecideResume(now time.Time, a Attempts, f Failure, r *Resumes, rng *rand.Rand) (time.Duration, Reason) {
 	if f == Unreached {
 		return decideUnreached(now, a)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-// TestDecide checks the rules of a retry one by one.
+// TestDecide checks each rule of a retry separately.
 func TestDecide(t *testing.T) {
 	deadline := start.Add(10 * time.Second)
 	tests := []struct {
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestBudget checks that retries are at most the share of first tries and the reserve, and never end past the deadline.
+// TestBudget checks that retries are at most the share of first attempts and the reserve, and never end past the
+// deadline.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget[string]()
@@ -65,13 +66,13 @@
 			}
 		}
 		if most := share*float64(firsts) + budgetReserve; float64(retries) > most {
-			t.Fatalf("%d retries of %d first tries at a share of %v", retries, firsts, share)
+			t.Fatalf("%d retries of %d first attempts at a share of %v", retries, firsts, share)
 		}
 	})
 }
 
-// TestResumes checks that resumes are at most one for each stream, the reserve, and what open streams earn, that a stream
-// that waits is let through in the end, and that none is resumed at or past its deadline.
+// TestResumes checks that resumes are at most one for each stream, the reserve, and what open streams earn, that a
+// waiting stream is resumed in the end, and that none is resumed at or past its deadline.
 func TestResumes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
@@ -125,8 +126,8 @@
 	}
 }
 
-// TestProbes checks that at most one probe is under way while a breaker is half open, that one which never ends does not
-// hold it for longer than its time, and that a late end of a former probe lets no other one through.
+// TestProbes checks that at most one probe is in flight while a breaker is half open, that an unfinished probe does
+// not block others for longer than probeTimeout, and that the late end of an earlier probe does not admit another one.
 func TestProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewBreakers[string](rand.NewPCG(1, 1))
@@ -144,7 +145,7 @@
 			}
 			want := state == Closed || state == HalfOpen && live == 0
 			if got := s.Allows(now, "r"); got != want {
-				t.Fatalf("allows %v in state %v with %d probes under way", got, state, live)
+				t.Fatalf("allows %v in state %v with %d probes in flight", got, state, live)
 			}
 			if want && state == HalfOpen {
 				begun[s.Begin(now, "r")] = now
@@ -182,7 +183,7 @@
 	})
 }
 
-// TestBreaker checks the states of a breaker against a plain reading of its rules.
+// TestBreaker checks the states of a breaker against a simple model of its rules.
 func TestBreaker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewBreakers[string](rand.NewPCG(1, 1))
--- a/stream/order.go
+++ b/stream/order.go
@@ -1,6 +1,7 @@
 package stream
 
-// Order lets the pieces of one attempt through in order, each once; foreign, late and doubled ones are dropped.
+// Order passes the pieces of one attempt in order, each once; it drops pieces of other attempts, late ones and
+// duplicates.
 type Order struct {
 	requestID string
 	attempt   int
--- a/stream/order_test.go
+++ b/stream/order_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrder feeds an attempt's pieces mixed with foreign, late and doubled ones, in any order.
+// TestOrder feeds an attempt's pieces mixed with those of other attempts, late ones and duplicates, in any order.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 3).Draw(t, "first")
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -10,7 +10,7 @@
 	Text      string
 }
 
-// End closes a whole answer; Pieces is the number of pieces before it, over all attempts.
+// End completes an answer; Pieces is the number of pieces before it, over all attempts.
 type End struct {
 	FinishReason string
 	Pieces       int
@@ -23,7 +23,7 @@
 	Piece(p Piece) error
 }
 
-// GapError says that a piece did not follow the one before it.
+// GapError reports a piece that did not follow the one before it.
 type GapError struct {
 	RequestID string
 	Want      int
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("stream of request %q: position %d where %d was expected", e.RequestID, e.Got, e.Want)
 }
 
-// CountError says that the end of an answer does not follow all of its pieces.
+// CountError reports an end of an answer whose number of pieces differs from those accepted.
 type CountError struct {
 	RequestID string
 	Want      int
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("stream of request %q: the end counts %d pieces, %d were accepted", e.RequestID, e.Want, e.Got)
 }
 
-// IncompleteError says that an answer stopped before its end.
+// IncompleteError reports an answer that stopped before its end.
 type IncompleteError struct {
 	RequestID string
 	Pieces    int
