--- a/distribution/delta.go
+++ b/distribution/delta.go
@@ -2,7 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Delta leads from one encoded inventory to that of the next revision.
+// Delta turns an encoded inventory into that of the next revision: Prefix and Suffix are the numbers of bytes to keep
+// at its ends, Middle is what stands between them, and Checksum is that of the result.
 type Delta struct {
 	Revision int64
 	Prefix   int
@@ -14,7 +15,7 @@
 // Checksum returns the checksum of an encoded inventory.
 func Checksum(b []byte) uint64 { return xxhash.Sum64(b) }
 
-// NewDelta returns the delta from old to b, which is that of the revision.
+// NewDelta returns the delta from old to b, the encoded inventory of the revision.
 func NewDelta(revision int64, old, b []byte) Delta {
 	prefix := 0
 	for prefix < min(len(old), len(b)) && old[prefix] == b[prefix] {
@@ -27,7 +28,7 @@
 	return Delta{Revision: revision, Prefix: prefix, Suffix: suffix, Middle: b[prefix : len(b)-suffix], Checksum: Checksum(b)}
 }
 
-// Apply returns the inventory that the delta makes of old; one that does not fit returns *ChecksumError.
+// Apply returns the result of the delta on old, or *ChecksumError if the delta does not fit.
 func (d Delta) Apply(old []byte) ([]byte, error) {
 	if d.Prefix < 0 || d.Suffix < 0 || d.Prefix > len(old) || d.Suffix > len(old)-d.Prefix {
 		return nil, &ChecksumError{Revision: d.Revision}
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFollowersReachEveryRevision lets followers take updates with losses and restarts, and damages some of their copies.
+// TestFollowersReachEveryRevision checks that a follower reaches the revision of its source after lost updates,
+// restarts and corruption of its copy, and never goes back to a lower revision.
 func TestFollowersReachEveryRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, follower := &Versions{}, &Versions{}
@@ -39,7 +40,7 @@
 	})
 }
 
-// catchUp takes one update, and the whole if its deltas do not fit.
+// catchUp applies one update, or the whole inventory if the deltas do not fit.
 func catchUp(t *rapid.T, source, follower *Versions) {
 	checksum := Checksum(follower.Whole())
 	if follower.Revision() == 0 {
@@ -71,7 +72,7 @@
 			t.Errorf("%s follows itself: %v", self, sources)
 		}
 		if len(sources) != len(others)+len(voters)+1 {
-			t.Errorf("%s does not try everyone: %v", self, sources)
+			t.Errorf("%s does not try all addresses: %v", self, sources)
 		}
 		if slices.Contains(voters, sources[0]) {
 			direct++
@@ -82,7 +83,7 @@
 	}
 }
 
-func TestFailedSourcesComeLast(t *testing.T) {
+func TestFailedSourcesOrderedLast(t *testing.T) {
 	f := NewFailures()
 	now := time.Unix(0, 0)
 	f.Failed(now, "a")
@@ -101,13 +102,14 @@
 	}
 }
 
-// TestReportsReachTheTop sends the reports of a region through one stream and compares what arrives with what is.
-func TestReportsReachTheTop(t *testing.T) {
+// TestReportsReachCollector sends the reports of a region through one stream: the collector has the revision of every
+// instance, and its times are ahead by no more than staleAfter.
+func TestReportsReachCollector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		region := map[string]Instance{}
 		sender, receiver := NewSender(), NewReceiver()
-		top := NewReports()
+		collector := NewReports()
 		common := int64(1)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(100, 2500).Draw(t, "millis")) * time.Millisecond)
@@ -124,16 +126,16 @@
 			}
 			if r, ok := sender.Next(now, common, all, time.Second); ok {
 				for _, i := range receiver.Take(now, r) {
-					top.Take(i)
+					collector.Take(i)
 				}
 			}
 			for _, i := range all {
-				got := top.last[i.Name]
+				got := collector.latest[i.Name]
 				if got.Revision != i.Revision {
-					t.Fatalf("%s has revision %d, the top knows %d", i.Name, i.Revision, got.Revision)
+					t.Fatalf("%s has revision %d, the collector %d", i.Name, i.Revision, got.Revision)
 				}
 				if late := got.At.Sub(i.At); late > staleAfter {
-					t.Fatalf("%s was heard of at %v, the top believes %v later", i.Name, i.At, late)
+					t.Fatalf("%s reported at %v, the collector has a time %v later", i.Name, i.At, late)
 				}
 			}
 		}
--- a/distribution/doc.go
+++ b/distribution/doc.go
@@ -1,9 +1,11 @@
-// Package distribution decides how accepted revisions spread and how reports of them return.
+// Package distribution implements the distribution of accepted inventory revisions and the reports of instances on the
+// revisions that they have in force.
 //
-// A revision travels as a delta against the one before: the bytes between the
+// A revision is sent as a delta against the previous one: the bytes between the
 // longest common prefix and suffix of the two encoded inventories, with a
 // checksum of the result. A few relays in each region, chosen by rendezvous
 // hashing (Thaler and Ravishankar, 1998), follow the control voters; the
 // region's other entries follow the relays. Reports of the revisions in force
-// return the same way, with only what differs from the common revision.
+// are sent along the same connections in the opposite direction and list only
+// the instances that differ from the common revision.
 package distribution
--- a/distribution/reports.go
+++ b/distribution/reports.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// staleAfter is the time after which an instance that sends no report is named as no longer heard of.
+// staleAfter is the age of the last report after which an instance is stale.
 const staleAfter = 3 * time.Second
 
-// Instance is an instance with the revision that it had in force, and what it knew of its region, at a time.
+// Instance is the state of an instance at a time: its revision in force and what it knew of its region.
 type Instance struct {
 	Name     string
 	Region   string
 	Revision int64
-	// LedgerFatalDomain is the failure domain whose loss leaves the ledger of the region without a majority, or "".
+	// LedgerFatalDomain is the failure domain whose loss would leave the region's ledger without a quorum, or "".
 	LedgerFatalDomain string
 	At                time.Time
 }
 
-// Report is what one stream sends upward; see the schema's FollowReport.
+// Report is a report on one stream; see the schema's FollowReport. Common is the revision of all fresh instances that
+// it does not list.
 type Report struct {
 	Instances []Instance
 	Common    int64
@@ -27,25 +28,25 @@
 
 // Reports is the last known state of instances; it is not safe for concurrent use.
 type Reports struct {
-	last map[string]Instance
+	latest map[string]Instance
 }
 
 // NewReports returns an empty set.
-func NewReports() *Reports { return &Reports{last: map[string]Instance{}} }
+func NewReports() *Reports { return &Reports{latest: map[string]Instance{}} }
 
-// Take notes one instance unless something newer is known of it.
+// Take updates the state of one instance unless the known state is newer.
 func (r *Reports) Take(i Instance) {
-	if !i.At.Before(r.last[i.Name].At) {
-		r.last[i.Name] = i
+	if !i.At.Before(r.latest[i.Name].At) {
+		r.latest[i.Name] = i
 	}
 }
 
-// All returns the instances heard of after a time, in the order of their names.
+// All returns the instances whose state is not older than the given time, ordered by name, and drops the others.
 func (r *Reports) All(after time.Time) []Instance {
 	var all []Instance
-	for name, i := range r.last {
+	for name, i := range r.latest {
 		if i.At.Before(after) {
-			delete(r.last, name)
+			delete(r.latest, name)
 			continue
 		}
 		all = append(all, i)
@@ -54,11 +55,11 @@
 	return all
 }
 
-// Sender makes the reports of one stream.
+// Sender builds the reports of one stream; it is not safe for concurrent use.
 type Sender struct {
-	sent map[string]sentInstance
-	last int64
-	at   time.Time
+	sent       map[string]sentInstance
+	lastCommon int64
+	sentAt     time.Time
 }
 
 type sentInstance struct {
@@ -70,50 +71,51 @@
 // NewSender returns the sender of a new stream.
 func NewSender() *Sender { return &Sender{sent: map[string]sentInstance{}} }
 
-// Next returns the report to send now; ok is false if nothing changed and the period has not passed.
+// Next returns the report to send now; ok is false if nothing changed and the period has not passed since the last one.
 func (s *Sender) Next(now time.Time, common int64, instances []Instance, period time.Duration) (r Report, ok bool) {
-	changed := common != s.last || now.Sub(s.at) >= period
+	changed := common != s.lastCommon || now.Sub(s.sentAt) >= period
 	r.Common = common
 	for _, i := range instances {
 		stale := now.Sub(i.At) > staleAfter
-		before, known := s.sent[i.Name]
-		moved := !known || before.stale != stale || !stale && before.domain != i.LedgerFatalDomain || !stale && before.revision != i.Revision && i.Revision != common
-		if moved || !stale && i.Revision != common {
+		previous, known := s.sent[i.Name]
+		differs := !known || previous.stale != stale || !stale && previous.domain != i.LedgerFatalDomain || !stale && previous.revision != i.Revision && i.Revision != common
+		if differs || !stale && i.Revision != common {
 			r.Instances = append(r.Instances, i)
 		}
-		changed = changed || moved || before.revision != i.Revision
+		changed = changed || differs || previous.revision != i.Revision
 		s.sent[i.Name] = sentInstance{revision: i.Revision, domain: i.LedgerFatalDomain, stale: stale}
 	}
 	if !changed {
 		return Report{}, false
 	}
-	s.last, s.at = common, now
+	s.lastCommon, s.sentAt = common, now
 	return r, true
 }
 
-// Receiver takes the reports of one stream.
+// Receiver expands the reports of one stream; it is not safe for concurrent use.
 type Receiver struct {
-	// named holds each instance named before and not as stale.
-	named map[string]Instance
+	// fresh holds the instances that were not stale when they were last listed.
+	fresh map[string]Instance
 }
 
 // NewReceiver returns the receiver of a new stream.
-func NewReceiver() *Receiver { return &Receiver{named: map[string]Instance{}} }
+func NewReceiver() *Receiver { return &Receiver{fresh: map[string]Instance{}} }
 
-// Take returns every instance that the report tells of; the times of the report's instances are those at which they were heard of.
+// Take returns the state of every instance that the report covers, ordered by name: those that it lists with the time
+// of their state, and the other fresh ones with the common revision at the present time.
 func (s *Receiver) Take(now time.Time, r Report) []Instance {
 	var all []Instance
 	for _, i := range r.Instances {
-		delete(s.named, i.Name)
+		delete(s.fresh, i.Name)
 		all = append(all, i)
 	}
-	for _, i := range s.named {
+	for _, i := range s.fresh {
 		i.Revision, i.At = r.Common, now
 		all = append(all, i)
 	}
 	for _, i := range r.Instances {
 		if now.Sub(i.At) <= staleAfter {
-			s.named[i.Name] = i
+			s.fresh[i.Name] = i
 		}
 	}
 	slices.SortFunc(all, func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
--- a/distribution/tree.go
+++ b/distribution/tree.go
@@ -10,7 +10,7 @@
 // relaysPerRegion is the number of entries in each region that follow the control voters.
 const relaysPerRegion = 2
 
-// Rank returns the items in the order of their rendezvous hash with a key.
+// Rank returns the distinct items by descending rendezvous hash with a key.
 func Rank(key string, items []string) []string {
 	ranked := slices.Clone(items)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -21,10 +21,10 @@
 
 func weight(key, item string) uint64 { return xxhash.Sum64String(key + "\x00" + item) }
 
-// Sources returns the addresses that the instance at self follows, the
-// preferred ones first. Peers are the live entries of its region, others the
-// addresses to try last. A relay prefers the voters, any other entry the
-// relays; either tries all others in the end.
+// Sources returns the addresses from which the instance at self may follow
+// revisions, in order of preference. Peers are the live entries of its region,
+// others the addresses to try last. A relay prefers the voters, any other entry
+// the relays; both fall back to all other addresses.
 func Sources(region, self string, peers, voters, others []string) []string {
 	ranked := Rank(region, append(slices.Clone(peers), self))
 	relays := ranked[:min(relaysPerRegion, len(ranked))]
@@ -38,7 +38,7 @@
 	return unique(sources, self)
 }
 
-// unique returns the items without repetition and without one.
+// unique returns the items without duplicates and without the given one.
 func unique(items []string, without string) []string {
 	seen := map[string]bool{without: true}
 	var kept []string
--- a/distribution/versions.go
+++ b/distribution/versions.go
@@ -1,20 +1,20 @@
 package distribution
 
-// Bounds of the deltas that are kept for followers that are behind.
+// Bounds on the deltas that are kept for followers that lag behind.
 const (
 	maxDeltas     = 512
 	maxDeltaBytes = 4 << 20
 )
 
-// Update leads a follower to a revision: by the whole inventory, or by deltas from its own.
+// Update brings a follower to a revision, either by the whole inventory or by deltas from the revision of the follower.
 type Update struct {
 	Revision int64
 	Whole    []byte
 	Deltas   []Delta
 }
 
-// Versions is the encoded inventory in force with the latest deltas to it; it
-// is not safe for concurrent use.
+// Versions holds the encoded inventory in force and the latest deltas that led
+// to it; it is not safe for concurrent use.
 type Versions struct {
 	revision int64
 	whole    []byte
@@ -22,19 +22,19 @@
 	bytes    int
 }
 
-// Revision returns the revision in force, or zero.
+// Revision returns the revision in force, or zero if there is none.
 func (v *Versions) Revision() int64 { return v.revision }
 
 // Whole returns the encoded inventory in force, which must not be changed.
 func (v *Versions) Whole() []byte { return v.whole }
 
-// Put takes an inventory into force and reports whether it did; a revision that is not higher is left out.
+// Put puts an inventory in force and reports whether it did; a revision that is not higher is ignored.
 func (v *Versions) Put(revision int64, whole []byte) bool {
 	if revision <= v.revision {
 		return false
 	}
 	if revision == v.revision+1 && v.revision > 0 {
-		v.keep(NewDelta(revision, v.whole, whole))
+		v.appendDelta(NewDelta(revision, v.whole, whole))
 	} else {
 		v.deltas, v.bytes = nil, 0
 	}
@@ -42,8 +42,8 @@
 	return true
 }
 
-// keep adds a delta and drops the oldest ones beyond the bounds.
-func (v *Versions) keep(d Delta) {
+// appendDelta appends a delta and drops the oldest ones beyond the bounds.
+func (v *Versions) appendDelta(d Delta) {
 	v.deltas = append(v.deltas, d)
 	v.bytes += len(d.Middle)
 	for len(v.deltas) > maxDeltas || v.bytes > maxDeltaBytes {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Take takes an update into force; it reports false if its revision is not
+// Take applies an update. It reports false if the update's revision is not
 // higher, and returns *ChecksumError if its deltas do not fit.
 func (v *Versions) Take(u Update) (bool, error) {
 	if u.Revision <= v.revision {
@@ -76,13 +76,14 @@
 	return true, nil
 }
 
-// Since returns the update for a follower with a revision and its checksum; ok is false if it lacks nothing.
+// Since returns the update for a follower with the given revision and checksum; ok is false if the follower is up to
+// date. The update holds the whole inventory if deltas are missing, are no smaller or do not fit the checksum.
 func (v *Versions) Since(revision int64, checksum uint64) (u Update, ok bool) {
 	if revision >= v.revision {
 		return Update{}, false
 	}
 	missing := int(v.revision - revision)
-	if missing > len(v.deltas) || !v.held(revision, checksum) {
+	if missing > len(v.deltas) || !v.checksumMatches(revision, checksum) {
 		return Update{Revision: v.revision, Whole: v.whole}, true
 	}
 	deltas := v.deltas[len(v.deltas)-missing:]
@@ -96,8 +97,9 @@
 	return Update{Revision: v.revision, Deltas: deltas}, true
 }
 
-// held reports whether the inventory of a revision had the checksum, as far as the deltas tell.
-func (v *Versions) held(revision int64, checksum uint64) bool {
+// checksumMatches reports whether the inventory of a revision had the checksum. Without a delta to that revision it
+// accepts any checksum but zero, which stands for a follower without a valid inventory.
+func (v *Versions) checksumMatches(revision int64, checksum uint64) bool {
 	for _, d := range v.deltas {
 		if d.Revision == revision {
 			return d.Checksum == checksum
--- a/fencing/issuer_test.go
+++ b/fencing/issuer_test.go
@@ -15,50 +15,50 @@
 	cfg   = fencing.Config{LeaseTime: time.Second, Deadline: 500 * time.Millisecond, Margin: 200 * time.Millisecond}
 )
 
-// leader is one voter, which may be frozen at any step.
+// leader is a voter that may be frozen at any step.
 type leader struct {
 	issuer *fencing.Issuer
 	lease  fencing.Lease
-	// drift is the rate of the leader's clock against true time.
+	// drift is the rate of the leader's clock relative to true time.
 	drift float64
-	// frozen leaders take no step, and send what they hold as soon as they wake.
+	// frozen leaders take no step, and send their unsent order as soon as they resume.
 	frozen bool
-	// held is an order whose number was given and which is not sent yet.
-	held *fencing.Number
+	// unsent is an order whose number was issued and which is not sent yet.
+	unsent *fencing.Number
 }
 
-// clock returns the leader's own reading at a true time.
+// clock returns the reading of the leader's clock at a true time.
 func (l *leader) clock(at time.Time) time.Time {
 	return start.Add(time.Duration(float64(at.Sub(start)) * l.drift))
 }
 
-// millis draws one of the durations.
+// millis draws one of the durations, given in milliseconds.
 func millis(t *rapid.T, what string, choices ...int) time.Duration {
 	return time.Duration(rapid.SampledFrom(choices).Draw(t, what)) * time.Millisecond
 }
 
-// transit is an order on its way to the engine.
-type transit struct {
+// sentOrder is an order that was sent and not yet started; started is when the engine would start it.
+type sentOrder struct {
 	number   fencing.Number
 	received time.Time
 	started  time.Time
 }
 
-// cluster elects a new leader only when the old lease has ended in true time, as consensus does.
+// cluster elects a new leader only after the old lease has ended in true time, as consensus does.
 type cluster struct {
-	t       *rapid.T
-	now     time.Time
-	leaders []*leader
-	term    int64
-	ends    time.Time
-	orders  []transit
-	gate    fencing.Gate
-	applied fencing.Number
-	checks  bool
+	t        *rapid.T
+	now      time.Time
+	leaders  []*leader
+	term     int64
+	leaseEnd time.Time
+	orders   []sentOrder
+	gate     fencing.Gate
+	applied  fencing.Number
+	checks   bool
 }
 
 func (c *cluster) elect() {
-	if c.now.Before(c.ends) {
+	if c.now.Before(c.leaseEnd) {
 		return
 	}
 	l := rapid.SampledFrom(c.leaders).Draw(c.t, "elected")
@@ -70,40 +70,40 @@
 	c.renew(l)
 }
 
-// renew extends the present leader's lease.
+// renew extends the lease of the current leader.
 func (c *cluster) renew(l *leader) {
-	if l.lease.Term != c.term || (c.now.After(c.ends) && !c.ends.IsZero() && l.lease.End.After(start)) {
+	if l.lease.Term != c.term || (c.now.After(c.leaseEnd) && !c.leaseEnd.IsZero() && l.lease.End.After(start)) {
 		return
 	}
 	l.lease.End = l.clock(c.now).Add(cfg.LeaseTime - 50*time.Millisecond)
-	c.ends = c.now.Add(cfg.LeaseTime)
+	c.leaseEnd = c.now.Add(cfg.LeaseTime)
 }
 
-// issue takes a number; the leader may be frozen before it sends.
+// issue issues a number; the leader may be frozen before it sends the order.
 func (c *cluster) issue(l *leader) {
 	if n, err := l.issuer.Issue(l.clock(c.now), l.lease, c.checks); err == nil {
-		l.held = &n
+		l.unsent = &n
 	}
 }
 
-// send checks again and sends within the same step.
+// send checks the unsent order again and sends it within the same step.
 func (c *cluster) send(l *leader) {
-	if l.held == nil {
+	if l.unsent == nil {
 		return
 	}
-	n := *l.held
-	l.held = nil
+	n := *l.unsent
+	l.unsent = nil
 	if err := l.issuer.Check(l.clock(c.now), l.lease, n, c.checks); err != nil {
 		return
 	}
 	received := c.now.Add(millis(c.t, "transit", 100, 50, 0))
 	started := received.Add(millis(c.t, "start", 500, 0, 250, 700))
-	c.orders = append(c.orders, transit{number: n, received: received, started: started})
+	c.orders = append(c.orders, sentOrder{number: n, received: received, started: started})
 }
 
-// deliver lets the engine start what is due; it keeps the deadline in any case and checks numbers if it is such an engine.
+// deliver starts the orders that are due, unless their deadline has passed; start checks numbers if the engine does.
 func (c *cluster) deliver() {
-	var left []transit
+	var left []sentOrder
 	for _, o := range c.orders {
 		switch {
 		case c.now.Before(o.started):
@@ -129,8 +129,8 @@
 	c.applied = n
 }
 
-// act lets a leader take one step, or none if it is frozen.
-func (c *cluster) act(l *leader) {
+// step makes a leader take one random step, or none if it is frozen.
+func (c *cluster) step(l *leader) {
 	step := rapid.SampledFrom([]string{"order", "order", "order", "order", "renew", "freeze"}).Draw(c.t, "step")
 	if l.frozen {
 		l.frozen = rapid.IntRange(0, 15).Draw(c.t, "asleep") < 14
@@ -150,7 +150,8 @@
 	}
 }
 
-// TestNoOldOrderIsApplied freezes leaders at every step, wakes them after their successors acted, and checks both kinds of engines.
+// TestNoOldOrderIsApplied checks that no engine applies an order of an old term after one of a newer term, when
+// leaders are frozen at any step and resume after their successors have sent orders. It covers both kinds of engines.
 func TestNoOldOrderIsApplied(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -168,7 +169,7 @@
 					c.deliver()
 					c.elect()
 					for _, l := range c.leaders {
-						c.act(l)
+						c.step(l)
 					}
 				}
 			})
@@ -198,7 +199,7 @@
 
 func TestRefusals(t *testing.T) {
 	held := fencing.Lease{Term: 2, End: start.Add(time.Second), Held: true}
-	quiet := start.Add(cfg.LeaseTime + cfg.Margin + cfg.Deadline)
+	afterWait := start.Add(cfg.LeaseTime + cfg.Margin + cfg.Deadline)
 	tests := []struct {
 		name   string
 		now    time.Time
@@ -212,7 +213,7 @@
 		{"number of an older term", start, held, fencing.Number{Term: 1}, true, new(*fencing.OldTermError)},
 		{"older orders may run at an engine that does not check", start, held, fencing.Number{Term: 2}, false, new(*fencing.WaitError)},
 		{"older orders may run at an engine that checks", start, held, fencing.Number{Term: 2}, true, nil},
-		{"after the wait", quiet, fencing.Lease{Term: 2, End: quiet.Add(time.Second), Held: true}, fencing.Number{Term: 2}, false, nil},
+		{"after the wait", afterWait, fencing.Lease{Term: 2, End: afterWait.Add(time.Second), Held: true}, fencing.Number{Term: 2}, false, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/fencing/number.go
+++ b/fencing/number.go
@@ -1,6 +1,6 @@
 package fencing
 
-// Number orders the orders of all leaders.
+// Number is the fencing token of an order; it orders the orders of all leaders by term and then by sequence.
 type Number struct {
 	Term     int64
 	Sequence int64
@@ -14,12 +14,13 @@
 	return n.Sequence > m.Sequence
 }
 
-// Gate is the check of an engine that refuses old numbers; the zero value has seen none.
+// Gate is the state of an engine that checks numbers; the zero value has accepted none.
 type Gate struct {
 	highest Number
 }
 
-// Accept returns the gate after an order and whether the order may be applied: its number is above all before it.
+// Accept returns the gate after an order, and whether the order may be applied: its number must be above all accepted
+// before.
 func (g Gate) Accept(n Number) (Gate, bool) {
 	if !n.Above(g.highest) {
 		return g, false
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// State is what an endpoint said of itself last.
+// State is the state that an endpoint last reported.
 type State int
 
-// States of an endpoint, in the only order in which one incarnation passes through them.
+// States of an endpoint; one incarnation passes through them only in this order.
 const (
-	// Ready takes new work.
+	// Ready endpoints take new requests.
 	Ready State = iota
-	// Draining finishes what it has and takes nothing new.
+	// Draining endpoints finish the requests that they have and take no new ones.
 	Draining
-	// Gone has left, or its address has passed on to another endpoint.
+	// Gone endpoints have left, or another endpoint has taken their address.
 	Gone
 )
 
@@ -27,10 +27,10 @@
 	}
 }
 
-// Endpoint is one incarnation of an endpoint as it was heard of last.
+// Endpoint is the last known state of one incarnation of an endpoint.
 type Endpoint struct {
 	ID string
-	// Born tells incarnations of one id apart: the endpoint's start in Unix milliseconds, or zero if it was not told.
+	// Born identifies the incarnation: the endpoint's start in Unix milliseconds, or zero if it is unknown.
 	Born int64
 	// Sequence increases with each heartbeat of one incarnation.
 	Sequence      int64
@@ -39,18 +39,18 @@
 	FailureDomain string
 	Slots         int
 	State         State
-	// ColdUntil is the time at which its caches and code paths are warm; zero if it is warm.
+	// ColdUntil is the end of the warm-up of caches and code paths; zero if the endpoint is warm.
 	ColdUntil time.Time
-	// GoneAt is the time at which a reclaimed endpoint ends, whatever it runs; zero if it was not told.
+	// GoneAt is the time at which a reclaimed endpoint ends, even with requests running; zero if it is unknown.
 	GoneAt time.Time
-	// Heard is the time of its last heartbeat.
+	// Heard is the time of the last heartbeat.
 	Heard time.Time
 }
 
-// Cold reports whether the endpoint is still cold.
+// Cold reports whether the endpoint is still warming up.
 func (e Endpoint) Cold(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// supersedes reports whether e says something newer of the endpoint id than old.
+// supersedes reports whether e is newer than old, a record of the same endpoint id.
 func (e Endpoint) supersedes(old Endpoint) bool {
 	if e.Born != old.Born {
 		return e.Born > old.Born
@@ -61,10 +61,10 @@
 	return e.Sequence > old.Sequence
 }
 
-// Gateway is a process of the system that serves callers.
+// Gateway is the last known state of a process that serves callers.
 type Gateway struct {
 	Name string
-	// Born is the process's start in Unix milliseconds.
+	// Born identifies the incarnation: the process's start in Unix milliseconds.
 	Born           int64
 	CallerAddress  string
 	LoadAddress    string
@@ -72,13 +72,14 @@
 	FailureDomain  string
 	Region         string
 	Ready          bool
-	// Lingering gateways are stopping, and still take what no other gateway of their region can.
+	// Lingering gateways are stopping, but still take requests that no other gateway of their region can take.
 	Lingering bool
-	Heard     time.Time
+	// Heard is the time of the last report.
+	Heard time.Time
 }
 
-// sameWord reports whether two records of one gateway tell other instances the same.
-func (g Gateway) sameWord(other Gateway) bool {
+// sameState reports whether two records of one gateway differ at most in the time of the last report.
+func (g Gateway) sameState(other Gateway) bool {
 	g.Heard, other.Heard = time.Time{}, time.Time{}
 	return g == other
 }
--- a/fleet/nearest.go
+++ b/fleet/nearest.go
@@ -2,28 +2,27 @@
 
 import "slices"
 
-// Nearest returns the gateways that a caller in a region should use, up to n: all that are ready in its region, else
-// those there that linger, else those that are ready in the homes of what it asks for, or else all that are ready
-// anywhere. Callers choose among them at random, so that the failure
-// domains of a region share its load.
+// Nearest returns up to n gateways for a caller in a region: the ready ones of its region, else the lingering ones
+// there, else the ready ones of the homes, which are the regions that may serve its requests, else the other ready
+// ones. Callers choose among them at random, so that load is spread over the failure domains of a region.
 func Nearest(gateways []Gateway, region string, homes []string, n int) []Gateway {
-	var near, lingering, home, far []Gateway
+	var local, lingering, home, remote []Gateway
 	for _, g := range gateways {
 		switch {
 		case g.Region == region && g.Lingering:
 			lingering = append(lingering, g)
 		case !g.Ready:
 		case g.Region == region:
-			near = append(near, g)
+			local = append(local, g)
 		case slices.Contains(homes, g.Region):
 			home = append(home, g)
 		default:
-			far = append(far, g)
+			remote = append(remote, g)
 		}
 	}
-	for _, named := range [][]Gateway{near, lingering, home, far} {
-		if len(named) > 0 {
-			return named[:min(n, len(named))]
+	for _, candidates := range [][]Gateway{local, lingering, home, remote} {
+		if len(candidates) > 0 {
+			return candidates[:min(n, len(candidates))]
 		}
 	}
 	return nil
--- a/fleet/nearest_test.go
+++ b/fleet/nearest_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestNearest names gateways while those of the caller's region are stopped in turn: while one of them still takes
-// requests, callers are not sent to another region.
+// TestNearest guards against sending callers to another region while a gateway of their own region still takes
+// requests, be it a lingering one.
 func TestNearest(t *testing.T) {
 	gateway := func(name, region string, ready, lingering bool) Gateway {
 		return Gateway{Name: name, Region: region, Ready: ready, Lingering: lingering}
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// forgetAfter is the silence after which an endpoint is dropped: heartbeats come every second or two, may be seconds
-	// late, and are missing for as long as a partition lasts.
-	forgetAfter = 60 * time.Second
-	// goneRetention is how long an endpoint that left is remembered against its own late heartbeats.
+	// expireAfter is the silence after which the record of an endpoint is dropped. It is far above the heartbeat interval
+	// of one or two seconds, as heartbeats may be seconds late and are lost for the duration of a partition.
+	expireAfter = 60 * time.Second
+	// goneRetention is how long a record in state Gone is kept, so that late heartbeats cannot restore it.
 	goneRetention = 60 * time.Second
 )
 
 type record struct {
 	endpoint Endpoint
-	// change is the number of the change that made the record what it is.
+	// change is the number of the last change of the record.
 	change int64
 }
 
-// Endpoints is a table of endpoints by id.
+// Endpoints is a table of endpoints by id, with numbered changes.
 type Endpoints struct {
 	records map[string]*record
 	change  int64
@@ -29,17 +29,17 @@
 // NewEndpoints returns an empty table.
 func NewEndpoints() *Endpoints { return &Endpoints{records: map[string]*record{}} }
 
-// Announce takes what was heard of an endpoint and reports whether it was new. A sign of life that says nothing else
-// new renews the record without being a change.
+// Announce stores a heartbeat and reports whether it was accepted, which an outdated one is not. A heartbeat without
+// new state renews the record and does not count as a change.
 func (t *Endpoints) Announce(e Endpoint) bool {
 	old := t.records[e.ID]
 	if old != nil && !e.supersedes(old.endpoint) {
 		return false
 	}
-	if owner := t.owner(e); owner != nil && !t.yield(owner, e) {
+	if owner := t.addressOwner(e); owner != nil && !t.supersedeOwner(owner, e) {
 		return false
 	}
-	if old != nil && sameWord(old.endpoint, e) {
+	if old != nil && sameState(old.endpoint, e) {
 		old.endpoint = e
 		return true
 	}
@@ -47,8 +47,8 @@
 	return true
 }
 
-// owner returns another endpoint that is not gone at the same address, or nil.
-func (t *Endpoints) owner(e Endpoint) *record {
+// addressOwner returns the record of another endpoint at the address of e, or nil; endpoints that are gone own none.
+func (t *Endpoints) addressOwner(e Endpoint) *record {
 	for _, r := range t.records {
 		if r.endpoint.Address == e.Address && r.endpoint.ID != e.ID && r.endpoint.State != Gone && e.State != Gone {
 			return r
@@ -57,8 +57,9 @@
 	return nil
 }
 
-// yield marks the owner of an address as gone if e was born later; without births the later word counts.
-func (t *Endpoints) yield(owner *record, e Endpoint) bool {
+// supersedeOwner marks the owner of an address as gone unless e started before it, and reports whether it did. Between
+// equal starts, such as two unknown ones, the later heartbeat wins.
+func (t *Endpoints) supersedeOwner(owner *record, e Endpoint) bool {
 	if e.Born < owner.endpoint.Born {
 		return false
 	}
@@ -68,10 +69,12 @@
 	return true
 }
 
-// coldTolerance is the difference in the end of the cold time below which two heartbeats say the same of it.
+// coldTolerance is the difference in ColdUntil below which two heartbeats count as equal.
 const coldTolerance = 250 * time.Millisecond
 
-func sameWord(a, b Endpoint) bool {
+// sameState reports whether two records differ only in sequence, time, fractions of a second of GoneAt and up to
+// coldTolerance in ColdUntil.
+func sameState(a, b Endpoint) bool {
 	drift := a.ColdUntil.Sub(b.ColdUntil).Abs()
 	sameCold := a.ColdUntil.IsZero() == b.ColdUntil.IsZero() && drift < coldTolerance
 	a.Sequence, a.Heard, a.ColdUntil = b.Sequence, b.Heard, b.ColdUntil
@@ -84,7 +87,8 @@
 	t.records[e.ID] = &record{endpoint: e, change: t.change}
 }
 
-// Depart marks an incarnation as gone and reports whether it was known; a born of zero means the one that is known.
+// Depart marks an endpoint as gone and reports whether it did; it leaves an incarnation later than born alone, and a
+// born of zero means any.
 func (t *Endpoints) Depart(now time.Time, id string, born int64) bool {
 	r := t.records[id]
 	if r == nil || r.endpoint.State == Gone || born != 0 && born < r.endpoint.Born {
@@ -97,7 +101,7 @@
 	return true
 }
 
-// Get returns the record of an endpoint.
+// Get returns the record of an endpoint, and whether there is one.
 func (t *Endpoints) Get(id string) (Endpoint, bool) {
 	r := t.records[id]
 	if r == nil {
@@ -106,10 +110,10 @@
 	return r.endpoint, true
 }
 
-// Expire forgets endpoints that have been silent, or gone, for a long time.
+// Expire drops endpoints that have been silent for more than expireAfter, or gone for more than goneRetention.
 func (t *Endpoints) Expire(now time.Time) {
 	for id, r := range t.records {
-		limit := forgetAfter
+		limit := expireAfter
 		if r.endpoint.State == Gone {
 			limit = goneRetention
 		}
@@ -119,7 +123,7 @@
 	}
 }
 
-// Since returns the records that changed after a change, in the order of their ids, and the number of the last change.
+// Since returns the records that changed after the given change, ordered by id, and the number of the last change.
 func (t *Endpoints) Since(change int64) ([]Endpoint, int64) {
 	var changed []Endpoint
 	for _, r := range t.records {
@@ -131,19 +135,19 @@
 	return changed, t.change
 }
 
-// Heard returns the records that were renewed after a time, in the order of their ids.
+// Heard returns the records that were renewed after a time, ordered by id.
 func (t *Endpoints) Heard(after time.Time) []Endpoint {
-	var heard []Endpoint
+	var renewed []Endpoint
 	for _, r := range t.records {
 		if r.endpoint.Heard.After(after) {
-			heard = append(heard, r.endpoint)
+			renewed = append(renewed, r.endpoint)
 		}
 	}
-	slices.SortFunc(heard, func(a, b Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	return heard
+	slices.SortFunc(renewed, func(a, b Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	return renewed
 }
 
-// Gateways is a table of the gateways that are in touch.
+// Gateways is a table of gateways by name, with leases and numbered changes.
 type Gateways struct {
 	lease   time.Duration
 	records map[string]*gatewayRecord
@@ -156,18 +160,18 @@
 	change  int64
 }
 
-// NewGateways returns an empty table in which a gateway stays for a lease after its last sign of life.
+// NewGateways returns an empty table in which a gateway is live until a lease has passed since its last report.
 func NewGateways(lease time.Duration) *Gateways {
 	return &Gateways{lease: lease, records: map[string]*gatewayRecord{}}
 }
 
-// Announce takes a sign of life; one of an earlier incarnation, or heard earlier than the last one, is dropped.
+// Announce stores a report and renews the lease; a report of an earlier incarnation or an earlier time is dropped.
 func (t *Gateways) Announce(g Gateway) {
 	old := t.records[g.Name]
 	if old != nil && (g.Born < old.gateway.Born || g.Born == old.gateway.Born && g.Heard.Before(old.gateway.Heard)) {
 		return
 	}
-	if old != nil && !old.gone && old.gateway.sameWord(g) {
+	if old != nil && !old.gone && old.gateway.sameState(g) {
 		old.gateway.Heard = g.Heard
 		return
 	}
@@ -175,7 +179,7 @@
 	t.records[g.Name] = &gatewayRecord{gateway: g, change: t.change}
 }
 
-// Leave marks a gateway as gone at once if it is still the same incarnation.
+// Leave marks a gateway as gone if its record is of the same incarnation.
 func (t *Gateways) Leave(name string, born int64) {
 	r := t.records[name]
 	if r == nil || r.gone || r.gateway.Born != born {
@@ -185,7 +189,7 @@
 	r.gone, r.change = true, t.change
 }
 
-// Expire marks gateways whose lease has ended as gone.
+// Expire marks gateways whose lease has ended as gone, and drops gone ones after goneRetention.
 func (t *Gateways) Expire(now time.Time) {
 	for name, r := range t.records {
 		if !r.gone && now.Sub(r.gateway.Heard) > t.lease {
@@ -197,7 +201,7 @@
 	}
 }
 
-// Live returns the gateways that are in touch, in the order of their names.
+// Live returns the gateways that are not gone, ordered by name.
 func (t *Gateways) Live() []Gateway {
 	var live []Gateway
 	for _, r := range t.records {
@@ -209,13 +213,13 @@
 	return live
 }
 
-// GatewayChange is a change of the table: a gateway that is in touch, or gone.
+// GatewayChange is the state of a gateway after a change, which is live unless Gone is set.
 type GatewayChange struct {
 	Gateway Gateway
 	Gone    bool
 }
 
-// Since returns the changes after a change, and the number of the last change.
+// Since returns the gateways that changed after the given change, ordered by name, and the number of the last change.
 func (t *Gateways) Since(change int64) ([]GatewayChange, int64) {
 	var changed []GatewayChange
 	for _, r := range t.records {
@@ -227,7 +231,7 @@
 	return changed, t.change
 }
 
-// Heard returns the gateways in touch that were renewed after a time.
+// Heard returns the live gateways that were renewed after a time, ordered by name.
 func (t *Gateways) Heard(after time.Time) []Gateway {
 	return slices.DeleteFunc(t.Live(), func(g Gateway) bool { return !g.Heard.After(after) })
 }
--- a/fleet/table_test.go
+++ b/fleet/table_test.go
@@ -13,14 +13,14 @@
 	return Endpoint{ID: id, Born: born, Sequence: sequence, Service: "s", Address: "10.0.0.1:1", State: state, Heard: time.Unix(1000, 0)}
 }
 
-// TestLateHeartbeats delivers the heartbeats of one id's incarnations in any order: the record is always that of the
-// newest word heard, and an incarnation that left does not come back.
+// TestLateHeartbeats delivers the heartbeats of one id's incarnations in any order: the record is always the newest one
+// received, and a late heartbeat does not restore an incarnation that left.
 func TestLateHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewEndpoints()
 		var newest Endpoint
 		known := false
-		for range rapid.IntRange(1, 40).Draw(t, "words") {
+		for range rapid.IntRange(1, 40).Draw(t, "heartbeats") {
 			e := endpoint("e", rapid.Int64Range(1, 3).Draw(t, "born"), rapid.Int64Range(1, 9).Draw(t, "sequence"), Ready)
 			if rapid.Bool().Draw(t, "leaves") && known {
 				table.Depart(time.Unix(1000, 0), "e", e.Born)
@@ -35,13 +35,14 @@
 			}
 			got, _ := table.Get("e")
 			if got.Born != newest.Born || got.State != newest.State || got.Sequence != newest.Sequence {
-				t.Fatalf("record %+v, newest word %+v", got, newest)
+				t.Fatalf("record %+v, newest heartbeat %+v", got, newest)
 			}
 		}
 	})
 }
 
-// TestReusedAddress starts another endpoint at an address: the one before is gone, and its late heartbeat is dropped.
+// TestReusedAddress starts another endpoint at an address: the previous one is marked as gone, and its late heartbeat
+// is dropped.
 func TestReusedAddress(t *testing.T) {
 	table := NewEndpoints()
 	table.Announce(endpoint("old", 1, 5, Ready))
@@ -54,12 +55,12 @@
 	}
 }
 
-// TestSince follows a table by its changes alone and ends with the same records.
+// TestSince builds a copy of a table from its changes alone and compares the states.
 func TestSince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, copied := NewEndpoints(), map[string]Endpoint{}
 		var change int64
-		for i := range rapid.IntRange(1, 60).Draw(t, "words") {
+		for i := range rapid.IntRange(1, 60).Draw(t, "heartbeats") {
 			id := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "id"))
 			e := endpoint(id, 1, int64(i), State(rapid.IntRange(0, 1).Draw(t, "state")))
 			e.Address = "10.0.0.1:" + id
@@ -78,7 +79,7 @@
 		}
 		for id, e := range copied {
 			if got, _ := table.Get(id); got.State != e.State {
-				t.Fatalf("%s is %v, told as %v", id, got.State, e.State)
+				t.Fatalf("%s is %v, copied as %v", id, got.State, e.State)
 			}
 		}
 	})
@@ -102,7 +103,7 @@
 	}
 	table.Leave("a", 2)
 	if diff := cmp.Diff([]string{"a"}, names()); diff != "" {
-		t.Errorf("the farewell of another incarnation: %s", diff)
+		t.Errorf("after another incarnation left: %s", diff)
 	}
 	table.Announce(Gateway{Name: "b", Born: 1, Heard: now.Add(5 * time.Second)})
 	if diff := cmp.Diff([]string{"a", "b"}, names()); diff != "" {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -9,7 +9,7 @@
 	"arbutusreel/placement"
 )
 
-// fleet returns engines that hold 13 models in equal parts, under demand that rises from model to model.
+// fleet returns engines that hold 13 models in equal numbers, under demand that rises from model to model.
 func fleet(b *testing.B, regions, engines int) placement.View {
 	b.Helper()
 	c := inventory.Contents{Classes: []inventory.Class{{Name: "c", Patience: 1}}, Services: []inventory.Service{{Name: "s", MinEndpointsPerModel: 1}}}
@@ -39,7 +39,8 @@
 	return v
 }
 
-// rollout returns the fleet with a new version of every model in force and an adapter of each, which every second engine holds.
+// rollout returns the fleet with a new version of every model in force and an adapter of each, which every second
+// engine holds.
 func rollout(b *testing.B, v placement.View) placement.View {
 	b.Helper()
 	c := v.Inventory.Contents()
@@ -70,8 +71,8 @@
 	return v
 }
 
-// BenchmarkDecide measures one decision over growing fleets: the first one, before a need has lasted, one that
-// orders changes as far as engines can be spared, and one that does so in a rollout with adapters.
+// BenchmarkDecide measures one decision over fleets of growing size: the first one, before a need has persisted; one
+// that orders as many changes as other engines permit; and the same in a rollout with adapters.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ regions, engines int }{{3, 30}, {9, 270}, {21, 2100}, {21, 6195}} {
 		v := fleet(b, size.regions, size.engines)
@@ -87,12 +88,12 @@
 				placement.New(cfg).Decide(start, v)
 			}
 		})
-		renewed := rollout(b, v)
+		upgraded := rollout(b, v)
 		b.Run(fmt.Sprintf("rollout/engines=%d", size.engines), func(b *testing.B) {
 			cfg := placement.DefaultConfig(period)
 			cfg.Persistence = 0
 			for b.Loop() {
-				placement.New(cfg).Decide(start, renewed)
+				placement.New(cfg).Decide(start, upgraded)
 			}
 		})
 	}
--- a/placement/group.go
+++ b/placement/group.go
@@ -7,38 +7,38 @@
 	"arbutusreel/inventory"
 )
 
-// group is the endpoints of one service in one region.
+// group holds the endpoints of one service in one region.
 type group struct {
 	region  string
 	service inventory.Service
-	// units are what the service may offer in the region.
+	// units are the models and adapters that the service may offer in the region.
 	units   []unit
 	members []*member
-	// holdings knows each name that was seen.
+	// holdings caches the holding of each name.
 	holdings map[string]holding
-	// copies counts the endpoints that hold each unit once all changes are done.
+	// copies counts the endpoints that hold each unit after all pending changes.
 	copies []int
-	// serving counts the endpoints that serve each unit now and will go on to.
+	// serving counts the endpoints that serve each unit now and keep it after all pending changes.
 	serving []int
-	// kinds numbers the kinds of members.
+	// kinds numbers the equivalence classes of members.
 	kinds map[kindKey]int
-	// tried marks the kinds that were tried since the last call of candidates.
+	// tried marks the kinds that the present call of candidates has seen.
 	tried []bool
-	// domains numbers the failure domains, and holdsUnit marks those that hold the unit that is being proposed.
+	// domains numbers the failure domains, and holdsUnit marks those that hold the unit being proposed.
 	domains   map[string]int
 	holdsUnit []bool
-	// supplied is room for the supply of each unit.
+	// supplied is the buffer for the result of supply.
 	supplied []float64
-	// storeBusy says that the region's weight store serves another load.
+	// storeBusy is set while the region's weight store serves another load.
 	storeBusy bool
-	// proposed are the proposals for the present targets.
+	// proposed are the proposals for the current targets.
 	proposed []Change
 	cfg      Config
 }
 
-// newGroup returns the group of the service's endpoints in the region, without members.
+// newGroup returns a group of the service and region without members.
 func newGroup(inv *inventory.Inventory, s inventory.Service, region string, cfg Config) *group {
-	units := unitsOf(inv, s, region)
+	units := offeredUnits(inv, s, region)
 	return &group{
 		region:   region,
 		service:  s,
@@ -53,19 +53,19 @@
 	}
 }
 
-// holding returns what a name that an endpoint holds stands for.
-func (g *group) holding(held string) holding {
-	if h, ok := g.holdings[held]; ok {
+// holding returns the holding of a name as endpoints announce it.
+func (g *group) holding(name string) holding {
+	if h, ok := g.holdings[name]; ok {
 		return h
 	}
-	n := inventory.ParseName(held)
-	h := holding{held: held, unit: indexOf(g.units, n.Served()), adapter: n.Adapter != ""}
-	g.holdings[held] = h
+	n := inventory.ParseName(name)
+	h := holding{name: name, unit: indexOf(g.units, n.Served()), adapter: n.Adapter != ""}
+	g.holdings[name] = h
 	return h
 }
 
-// held returns the holdings of a list of names.
-func (g *group) held(names []string) []holding {
+// holdingsOf returns the holdings of a list of names.
+func (g *group) holdingsOf(names []string) []holding {
 	holdings := make([]holding, len(names))
 	for i, name := range names {
 		holdings[i] = g.holding(name)
@@ -73,21 +73,22 @@
 	return holdings
 }
 
-// arrange sorts and counts the members after a change: those with the fewest names first, and then in the order of their names.
-func (g *group) arrange() {
+// recount sorts the members by the number of names in their target and then by name, and updates all counts; it is to
+// be called after each change.
+func (g *group) recount() {
 	slices.SortFunc(g.members, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(len(a.target), len(b.target)), cmp.Compare(a.Name, b.Name))
 	})
 	clear(g.copies)
 	clear(g.serving)
 	for _, m := range g.members {
-		g.count(m)
+		g.countMember(m)
 	}
 	g.tried = slices.Grow(g.tried[:0], len(g.kinds))[:len(g.kinds)]
 	g.holdsUnit = slices.Grow(g.holdsUnit[:0], len(g.domains))[:len(g.domains)]
 }
 
-// number returns the number of a key, the next one if it has none.
+// number returns the number of a key and assigns the next one to a new key.
 func number[K comparable](numbers map[K]int, k K) int {
 	n, ok := numbers[k]
 	if !ok {
@@ -97,8 +98,8 @@
 	return n
 }
 
-// count adds a member to the counts and numbers its kind and failure domain.
-func (g *group) count(m *member) {
+// countMember adds a member to the counts and sets the numbers of its kind and failure domain.
+func (g *group) countMember(m *member) {
 	m.kind = number(g.kinds, m.kindKey())
 	m.domain = number(g.domains, m.FailureDomain)
 	if m.Leaving {
@@ -115,20 +116,21 @@
 	}
 }
 
-// supply returns the tokens a second that the endpoints give to each unit, with the least flexible endpoints first; the
-// result is valid until the next call.
+// supply returns the tokens a second that the endpoints provide for each unit. Endpoints are allocated in the order
+// of the members, the least flexible first. The result is valid until the next call.
 func (g *group) supply() []float64 {
 	clear(g.supplied)
 	for _, m := range g.members {
 		if !m.Leaving {
-			g.share(m)
+			g.allocate(m)
 		}
 	}
 	return g.supplied
 }
 
-// share divides the endpoint among what it holds by the unmet need, or evenly if all needs are met.
-func (g *group) share(m *member) {
+// allocate divides the capacity of the endpoint among its holdings in proportion to their unmet need, or evenly if all
+// needs are met.
+func (g *group) allocate(m *member) {
 	if len(m.target) == 1 {
 		if u := m.target[0].unit; u != notOffered {
 			g.supplied[u] += m.TokensPerSecond
@@ -143,11 +145,11 @@
 		if h.unit == notOffered {
 			continue
 		}
-		part := 1 / float64(len(m.target))
+		share := 1 / float64(len(m.target))
 		if unmet > 0 {
-			part = g.unmet(h.unit) / unmet
+			share = g.unmet(h.unit) / unmet
 		}
-		g.supplied[h.unit] += part * m.TokensPerSecond
+		g.supplied[h.unit] += share * m.TokensPerSecond
 	}
 }
 
@@ -158,8 +160,8 @@
 	return max(g.units[u].need-g.supplied[u], 0)
 }
 
-// met returns the demand that the endpoints can meet, in tokens a second.
-func (g *group) met() float64 {
+// metDemand returns the part of the need that the endpoints can serve, in tokens a second.
+func (g *group) metDemand() float64 {
 	var met float64
 	for u, supply := range g.supply() {
 		met += min(supply, g.units[u].need)
@@ -167,11 +169,11 @@
 	return met
 }
 
-// minimum is the least number of endpoints that must go on to hold a unit when one gives it up.
-func (g *group) minimum() int { return max(g.service.MinEndpointsPerModel, 1) }
+// minCopies returns the least number of other endpoints that must serve a unit before one may unload it.
+func (g *group) minCopies() int { return max(g.service.MinEndpointsPerModel, 1) }
 
-// spares reports whether others serve enough copies of each holding for the endpoint to give all of them up now.
-func (g *group) spares(m *member, holdings []holding) bool {
+// canUnload reports whether enough other endpoints serve each holding for the endpoint to unload all of them now.
+func (g *group) canUnload(m *member, holdings []holding) bool {
 	for _, h := range holdings {
 		if h.unit == notOffered {
 			continue
@@ -180,18 +182,18 @@
 		if m.serves(h.unit, g.units) {
 			others--
 		}
-		if others < g.minimum() {
+		if others < g.minCopies() {
 			return false
 		}
 	}
 	return true
 }
 
-// stale reports whether a holding is another version than the one in force; an endpoint that names no version is taken to
-// hold the right one, since an order would not change what it announces.
-func (g *group) stale(h holding) bool {
+// outdated reports whether a holding is another version than the one in force. An endpoint that announces no version
+// counts as up to date, since an order would not change what it announces.
+func (g *group) outdated(h holding) bool {
 	if h.unit == notOffered || !g.units[h.unit].versioned {
 		return false
 	}
-	return h.held != g.units[h.unit].held && h.held != g.units[h.unit].name
+	return h.name != g.units[h.unit].versionedName && h.name != g.units[h.unit].name
 }
--- a/placement/member.go
+++ b/placement/member.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// member is an endpoint of a group with what it is to hold.
+// member is an endpoint of a group with its target holdings.
 type member struct {
 	*Endpoint
-	// now is what the endpoint serves, and target what it holds once its pending change is done.
-	now    []holding
-	target []holding
-	// free says that the endpoint may be changed now.
-	free bool
-	// changing says that a change of the endpoint is pending.
+	// serving is what the endpoint serves now, and target what it holds after its pending change.
+	serving []holding
+	target  []holding
+	// changeable is set if no change is pending and the cooldown has passed.
+	changeable bool
+	// changing is set while a change of the endpoint is pending.
 	changing bool
-	// kind is equal for members between which a change makes no difference, and domain for those of a failure domain.
+	// kind is equal for members that are interchangeable for a change, and domain for those of one failure domain.
 	kind   int
 	domain int
 }
 
-// kindKey is what makes members alike.
+// kindKey is equal for interchangeable members.
 type kindKey struct {
 	target          string
 	failureDomain   string
@@ -32,23 +32,22 @@
 func (m *member) kindKey() kindKey {
 	var target string
 	if len(m.target) == 1 {
-		target = m.target[0].held
+		target = m.target[0].name
 	} else {
-		target = strings.Join(heldNames(m.target), ",")
+		target = strings.Join(holdingNames(m.target), ",")
 	}
 	return kindKey{target: target, failureDomain: m.FailureDomain, capacity: m.Capacity, tokensPerSecond: m.TokensPerSecond}
 }
 
-// heldNames returns the names of the holdings.
-func heldNames(holdings []holding) []string {
+func holdingNames(holdings []holding) []string {
 	names := make([]string, 0, len(holdings))
 	for _, h := range holdings {
-		names = append(names, h.held)
+		names = append(names, h.name)
 	}
 	return names
 }
 
-// hasUnit reports whether the holdings hold the unit, in any version.
+// hasUnit reports whether the holdings contain the unit in any version.
 func hasUnit(holdings []holding, u int) bool {
 	for _, h := range holdings {
 		if h.unit == u {
@@ -58,21 +57,22 @@
 	return false
 }
 
-// serves reports whether the endpoint serves the unit and will go on to; an adapter is interrupted with its model.
+// serves reports whether the endpoint serves the unit without interruption by its pending change; an adapter is
+// interrupted together with its model.
 func (m *member) serves(u int, units []unit) bool {
-	if m.Leaving || !m.keeps(u) {
+	if m.Leaving || !m.retains(u) {
 		return false
 	}
-	return units[u].model == noModel || m.keeps(units[u].model)
+	return units[u].model == noModel || m.retains(units[u].model)
 }
 
-// keeps reports whether the endpoint holds the unit now and, by the same name, in its target.
-func (m *member) keeps(u int) bool {
-	return slices.ContainsFunc(m.now, func(h holding) bool { return h.unit == u && slices.Contains(m.target, h) })
+// retains reports whether the endpoint serves the unit and has it under the same name in its target.
+func (m *member) retains(u int) bool {
+	return slices.ContainsFunc(m.serving, func(h holding) bool { return h.unit == u && slices.Contains(m.target, h) })
 }
 
-// models returns the number of models, adapters left out, that the endpoint is to hold.
-func (m *member) models() int {
+// modelCount returns the number of models in the target, without adapters.
+func (m *member) modelCount() int {
 	n := 0
 	for _, h := range m.target {
 		if !h.adapter {
@@ -82,8 +82,8 @@
 	return n
 }
 
-// with returns the unit of the target and those of its adapters that the endpoint is to hold.
-func (m *member) with(u int, units []unit) []holding {
+// withAdapters returns the holdings of the unit and of its adapters in the target.
+func (m *member) withAdapters(u int, units []unit) []holding {
 	var held []holding
 	for _, h := range m.target {
 		if h.unit == u || h.unit != notOffered && units[h.unit].model == u {
@@ -93,8 +93,9 @@
 	return held
 }
 
-// changed returns the holdings without some and with others, models before adapters as they are loaded.
-func changed(holdings, load, unload []holding) []holding {
+// applyChange returns the holdings without those of unload and with those of load, models before adapters, which is the
+// order of loading.
+func applyChange(holdings, load, unload []holding) []holding {
 	after := make([]holding, 0, len(holdings)+len(load))
 	for _, h := range holdings {
 		if !slices.Contains(unload, h) {
@@ -107,7 +108,7 @@
 		}
 	}
 	if len(after) > 1 {
-		slices.SortStableFunc(after, func(a, b holding) int { return cmp.Compare(a.rank(), b.rank()) })
+		slices.SortStableFunc(after, func(a, b holding) int { return cmp.Compare(a.loadOrder(), b.loadOrder()) })
 	}
 	return after
 }
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -7,8 +7,8 @@
 	"arbutusreel/residency"
 )
 
-// spot is a model of a service in a region.
-type spot struct {
+// modelKey identifies a model of a service in a region, or the service in the region if model is empty.
+type modelKey struct {
 	region  string
 	service string
 	model   string
@@ -18,77 +18,77 @@
 //
 // Demand stays in its region if the model may run there and the service has
 // endpoints there. Other demand goes to the allowed region with the least cost
-// by the objective. On top comes what the loss of any one other region would
-// add, as far as the rules' headroom allows.
-func needs(v View) map[spot]float64 {
+// by the objective. Added to this is the largest failover demand that the loss
+// of any one other region would cause, limited by the rules' headroom.
+func needs(v View) map[modelKey]float64 {
 	capacity := capacities(v.Endpoints)
-	own := map[spot]float64{}
-	worst := map[spot]float64{}
+	required := map[modelKey]float64{}
+	failover := map[modelKey]float64{}
 	for _, d := range v.Demands {
-		regions := regionsOf(v.Inventory, capacity, d)
+		regions := eligibleRegions(v.Inventory, capacity, d)
 		if len(regions) == 0 {
 			continue
 		}
-		at := homeOf(v.Inventory, d, regions)
-		own[spot{region: at, service: d.Service, model: d.Model}] += d.TokensPerSecond
+		region := servingRegion(v.Inventory, d, regions)
+		required[modelKey{region: region, service: d.Service, model: d.Model}] += d.TokensPerSecond
 	}
-	for _, extra := range lossOf(v, capacity) {
-		for s, add := range extra {
-			worst[s] = max(worst[s], add)
+	for _, extra := range failoverDemand(v, capacity) {
+		for s, rate := range extra {
+			failover[s] = max(failover[s], rate)
 		}
 	}
-	total := map[spot]float64{}
-	for s, add := range worst {
-		total[spot{region: s.region, service: s.service}] += add
+	total := map[modelKey]float64{}
+	for s, rate := range failover {
+		total[modelKey{region: s.region, service: s.service}] += rate
 	}
 	headroom := v.Inventory.Rules().Headroom
-	for s, add := range worst {
-		group := spot{region: s.region, service: s.service}
+	for s, rate := range failover {
+		group := modelKey{region: s.region, service: s.service}
 		scale := min(1, headroom*capacity[group]/max(total[group], 1))
-		own[s] += add * scale
+		required[s] += rate * scale
 	}
-	return own
+	return required
 }
 
 // capacities returns the tokens a second of each service in each region.
-func capacities(endpoints []Endpoint) map[spot]float64 {
-	capacity := map[spot]float64{}
+func capacities(endpoints []Endpoint) map[modelKey]float64 {
+	capacity := map[modelKey]float64{}
 	for _, e := range endpoints {
 		if !e.Leaving {
-			capacity[spot{region: e.Region, service: e.Service}] += e.TokensPerSecond
+			capacity[modelKey{region: e.Region, service: e.Service}] += e.TokensPerSecond
 		}
 	}
 	return capacity
 }
 
-// regionsOf returns the regions that may serve the demand and have endpoints of the service, in the inventory's order.
-func regionsOf(inv *inventory.Inventory, capacity map[spot]float64, d Demand) []string {
+// eligibleRegions returns the regions that may serve the demand and have endpoints of the service, in inventory order.
+func eligibleRegions(inv *inventory.Inventory, capacity map[modelKey]float64, d Demand) []string {
 	var regions []string
 	for _, region := range residency.Allowed(inv, residency.Subject{Service: d.Service, Model: d.Model}) {
-		bound := len(d.AllowedRegions) > 0 && !slices.Contains(d.AllowedRegions, region)
-		if !bound && capacity[spot{region: region, service: d.Service}] > 0 {
+		excluded := len(d.AllowedRegions) > 0 && !slices.Contains(d.AllowedRegions, region)
+		if !excluded && capacity[modelKey{region: region, service: d.Service}] > 0 {
 			regions = append(regions, region)
 		}
 	}
 	return regions
 }
 
-// homeOf returns the demand's own region if it is among the regions, else the one of least cost by the objective.
-func homeOf(inv *inventory.Inventory, d Demand, regions []string) string {
+// servingRegion returns the region of the demand if it is eligible, else the eligible region with the least cost.
+func servingRegion(inv *inventory.Inventory, d Demand, regions []string) string {
 	if slices.Contains(regions, d.Region) {
 		return d.Region
 	}
 	best := regions[0]
 	for _, region := range regions[1:] {
-		if awayCost(inv, d.Region, region) < awayCost(inv, d.Region, best) {
+		if remoteCost(inv, d.Region, region) < remoteCost(inv, d.Region, best) {
 			best = region
 		}
 	}
 	return best
 }
 
-// awayCost returns the objective's cost of serving one region's demand in another.
-func awayCost(inv *inventory.Inventory, from, to string) float64 {
+// remoteCost returns the cost by the objective of serving demand of one region in another.
+func remoteCost(inv *inventory.Inventory, from, to string) float64 {
 	var mean float64
 	regions := inv.Contents().Regions
 	for _, r := range regions {
@@ -104,16 +104,17 @@
 	return cost
 }
 
-// lossOf returns, for each region, what its loss would add to the others: its demand in equal parts.
-func lossOf(v View, capacity map[spot]float64) map[string]map[spot]float64 {
-	loss := map[string]map[spot]float64{}
+// failoverDemand returns for each region the demand that its loss would add to the others, divided equally among the
+// eligible ones.
+func failoverDemand(v View, capacity map[modelKey]float64) map[string]map[modelKey]float64 {
+	loss := map[string]map[modelKey]float64{}
 	for _, d := range v.Demands {
-		regions := slices.DeleteFunc(regionsOf(v.Inventory, capacity, d), func(r string) bool { return r == d.Region })
+		regions := slices.DeleteFunc(eligibleRegions(v.Inventory, capacity, d), func(r string) bool { return r == d.Region })
 		if loss[d.Region] == nil {
-			loss[d.Region] = map[spot]float64{}
+			loss[d.Region] = map[modelKey]float64{}
 		}
 		for _, region := range regions {
-			loss[d.Region][spot{region: region, service: d.Service, model: d.Model}] += d.TokensPerSecond / float64(len(regions))
+			loss[d.Region][modelKey{region: region, service: d.Service, model: d.Model}] += d.TokensPerSecond / float64(len(regions))
 		}
 	}
 	return loss
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -8,83 +8,83 @@
 	"arbutusreel/inventory"
 )
 
-// pending is a change that its endpoint has not announced yet.
-type pending struct {
-	// models are what the endpoint is to announce.
+// pendingChange is an ordered change that its endpoint has not announced yet.
+type pendingChange struct {
+	// models are the names that the endpoint is to announce.
 	models  []string
 	expires time.Time
 }
 
-// Planner decides changes and follows them until they are announced; it is not safe for concurrent use.
+// Planner decides changes and tracks them until they are announced; it is not safe for concurrent use.
 type Planner struct {
 	cfg     Config
-	pending map[string]pending
-	// rest is the time before which an endpoint is left alone.
-	rest map[string]time.Time
-	// storeFree is the time from which a region's weight store serves a new load.
-	storeFree map[string]time.Time
-	// loads holds the order of each load that was seen to be in progress.
-	loads map[string]fencing.Number
-	// learned are the loads that the last decision adopted.
-	learned []Endpoint
-	// since is when a need for a model was first seen without a break.
-	since map[spot]time.Time
+	pending map[string]pendingChange
+	// cooldownUntil is the end of the cooldown of an endpoint.
+	cooldownUntil map[string]time.Time
+	// storeFreeAt is the time from which a region's weight store can serve a new load.
+	storeFreeAt map[string]time.Time
+	// seenLoads holds the number of the order of each announced load in progress, by endpoint.
+	seenLoads map[string]fencing.Number
+	// adopted are the endpoints whose loads the last decision adopted.
+	adopted []Endpoint
+	// needSince is the time since which a need has been present without interruption.
+	needSince map[modelKey]time.Time
 }
 
 // New returns a planner without pending changes.
 func New(cfg Config) *Planner {
 	return &Planner{
-		cfg:       cfg,
-		pending:   map[string]pending{},
-		rest:      map[string]time.Time{},
-		storeFree: map[string]time.Time{},
-		loads:     map[string]fencing.Number{},
-		since:     map[spot]time.Time{},
+		cfg:           cfg,
+		pending:       map[string]pendingChange{},
+		cooldownUntil: map[string]time.Time{},
+		storeFreeAt:   map[string]time.Time{},
+		seenLoads:     map[string]fencing.Number{},
+		needSince:     map[modelKey]time.Time{},
 	}
 }
 
-// Pending returns the number of changes that are not announced yet.
+// Pending returns the number of ordered changes that are not announced yet.
 func (p *Planner) Pending() int { return len(p.pending) }
 
-// Learned returns the endpoints whose loads the last decision took for those of an earlier leader.
-func (p *Planner) Learned() []Endpoint { return p.learned }
+// Learned returns the endpoints whose loads the last decision adopted as ordered by an earlier leader.
+func (p *Planner) Learned() []Endpoint { return p.adopted }
 
-// Failed forgets a change that its endpoint refused or never received, and leaves the endpoint alone for a while.
+// Failed drops a change that its endpoint refused or did not receive, and starts the cooldown of the endpoint.
 func (p *Planner) Failed(now time.Time, endpoint string) {
 	delete(p.pending, endpoint)
-	p.rest[endpoint] = now.Add(p.cfg.Rest)
+	p.cooldownUntil[endpoint] = now.Add(p.cfg.Rest)
 }
 
-// Decide returns the changes to order now, the most urgent first, which count as pending from then on.
+// Decide returns the changes to order now, the most urgent first, and records them as pending.
 func (p *Planner) Decide(now time.Time, v View) []Change {
-	p.settle(now, v.Endpoints)
-	p.adopt(now, v)
-	groups := p.groups(now, v)
-	seen := map[spot]bool{}
+	p.resolvePending(now, v.Endpoints)
+	p.adoptLoads(now, v)
+	groups := p.buildGroups(now, v)
+	seen := map[modelKey]bool{}
 	var changes []Change
 	for len(p.pending) < v.Inventory.Rules().MaxPlacementChanges {
-		c, g, ok := p.choose(now, groups, seen)
+		c, g, ok := p.chooseChange(now, groups, seen)
 		if !ok {
 			break
 		}
-		p.order(now, c, g)
-		p.refresh(now, groups, c.Region)
+		p.recordOrder(now, c, g)
+		p.refreshProposals(now, groups, c.Region)
 		changes = append(changes, c)
 	}
-	for s := range p.since {
+	for s := range p.needSince {
 		if !seen[s] {
-			delete(p.since, s)
+			delete(p.needSince, s)
 		}
 	}
 	return changes
 }
 
-// settle ends the pending changes that were announced or have taken too long.
-func (p *Planner) settle(now time.Time, endpoints []Endpoint) {
+// resolvePending ends the pending changes that were announced or have expired, and drops cooldowns that are over.
+func (p *Planner) resolvePending(now time.Time, endpoints []Endpoint) {
 	for _, e := range endpoints {
-		if c, ok := p.pending[e.Name]; ok && announced(e.Models, c.models) {
+		if c, ok := p.pending[e.Name]; ok && matchesOrder(e.Models, c.models) {
 			delete(p.pending, e.Name)
-			p.rest[e.Name] = now.Add(p.cfg.Rest)
+			p.cooldownUntil[e.Name] = now.Add(p.cfg.Rest)
 		}
 	}
 	for name, c := range p.pending {
@@ -92,26 +92,27 @@
 			p.Failed(now, name)
 		}
 	}
-	for name, until := range p.rest {
+	for name, until := range p.cooldownUntil {
 		if !now.Before(until) {
-			delete(p.rest, name)
+			delete(p.cooldownUntil, name)
 		}
 	}
 }
 
-// adopt takes a load that an endpoint announces and this planner did not order as a pending change: an earlier leader's. As
-// its start is not known, it has the weight store for all of its time from now on. Each order is adopted once, so that an
-// endpoint that never ends its load is left alone no longer than after an order of this planner.
-func (p *Planner) adopt(now time.Time, v View) {
-	before := p.loads
-	p.loads = map[string]fencing.Number{}
-	p.learned = nil
+// adoptLoads records as pending each announced load that this planner did not order, which is one of an earlier
+// leader. As the start of the load is unknown, the weight store counts as busy for the whole load time from now on.
+// Each order is adopted only once, so that an endpoint that never finishes its load is blocked no longer than by an
+// own order.
+func (p *Planner) adoptLoads(now time.Time, v View) {
+	previous := p.seenLoads
+	p.seenLoads = map[string]fencing.Number{}
+	p.adopted = nil
 	for _, e := range v.Endpoints {
 		if len(e.Loading) == 0 {
 			continue
 		}
-		known, ok := before[e.Name]
-		p.loads[e.Name] = e.Order
+		known, ok := previous[e.Name]
+		p.seenLoads[e.Name] = e.Order
 		if _, ordered := p.pending[e.Name]; ordered || ok && known == e.Order {
 			continue
 		}
@@ -120,18 +121,18 @@
 			seconds += loadSeconds(v.Inventory, name)
 		}
 		load := time.Duration(seconds * float64(time.Second))
-		p.wait(now, e.Name, e.Region, slices.Concat(e.Models, e.Loading), load)
-		p.learned = append(p.learned, e)
+		p.addPending(now, e.Name, e.Region, slices.Concat(e.Models, e.Loading), load)
+		p.adopted = append(p.adopted, e)
 	}
 }
 
-// groups returns the endpoints of each service in each region with what they need.
-func (p *Planner) groups(now time.Time, v View) []*group {
+// buildGroups returns the group of each model service and region, with needs, members and proposals.
+func (p *Planner) buildGroups(now time.Time, v View) []*group {
 	need := needs(v)
-	members := map[spot][]*Endpoint{}
+	members := map[modelKey][]*Endpoint{}
 	for i := range v.Endpoints {
 		e := &v.Endpoints[i]
-		at := spot{region: e.Region, service: e.Service}
+		at := modelKey{region: e.Region, service: e.Service}
 		members[at] = append(members[at], e)
 	}
 	var groups []*group
@@ -141,11 +142,11 @@
 		}
 		for _, r := range v.Inventory.Contents().Regions {
 			g := newGroup(v.Inventory, s, r.Name, p.cfg)
-			g.storeBusy = now.Before(p.storeFree[r.Name])
+			g.storeBusy = now.Before(p.storeFreeAt[r.Name])
 			for u := range g.units {
-				g.units[u].need = need[spot{region: r.Name, service: s.Name, model: g.units[u].name}]
+				g.units[u].need = need[modelKey{region: r.Name, service: s.Name, model: g.units[u].name}]
 			}
-			p.join(now, g, members[spot{region: r.Name, service: s.Name}])
+			p.addMembers(now, g, members[modelKey{region: r.Name, service: s.Name}])
 			g.proposed = g.proposals()
 			groups = append(groups, g)
 		}
@@ -153,33 +154,33 @@
 	return groups
 }
 
-// join makes the endpoints members of the group.
-func (p *Planner) join(now time.Time, g *group, endpoints []*Endpoint) {
+// addMembers adds the endpoints to the group.
+func (p *Planner) addMembers(now time.Time, g *group, endpoints []*Endpoint) {
 	members := make([]member, len(endpoints))
 	for i, e := range endpoints {
 		m := &members[i]
 		m.Endpoint = e
-		m.now = g.held(e.Models)
-		m.target = m.now
+		m.serving = g.holdingsOf(e.Models)
+		m.target = m.serving
 		if c, ok := p.pending[e.Name]; ok {
-			m.target, m.changing = g.held(c.models), true
+			m.target, m.changing = g.holdingsOf(c.models), true
 		}
-		m.free = !m.changing && !now.Before(p.rest[e.Name])
+		m.changeable = !m.changing && !now.Before(p.cooldownUntil[e.Name])
 		g.members = append(g.members, m)
 	}
-	g.arrange()
+	g.recount()
 }
 
-// choose returns the most urgent change of all groups whose need has lasted; seen notes every need.
-func (p *Planner) choose(now time.Time, groups []*group, seen map[spot]bool) (Change, *group, bool) {
+// chooseChange returns the most urgent proposal whose need has persisted, and its group. It marks every need in seen.
+func (p *Planner) chooseChange(now time.Time, groups []*group, seen map[modelKey]bool) (Change, *group, bool) {
 	var best Change
 	var at *group
 	for _, g := range groups {
 		for _, c := range g.proposed {
-			if !p.lasted(now, c, seen) {
+			if !p.needPersists(now, c, seen) {
 				continue
 			}
-			if at == nil || before(c, best) {
+			if at == nil || moreUrgent(c, best) {
 				best, at = c, g
 			}
 		}
@@ -187,57 +188,61 @@
 	return best, at, at != nil
 }
 
-func before(a, b Change) bool {
+// moreUrgent reports whether a is more urgent than b; within one reason the greater gain is.
+func moreUrgent(a, b Change) bool {
 	if a.Reason != b.Reason {
 		return a.Reason.urgency() < b.Reason.urgency()
 	}
 	return a.Gain > b.Gain
 }
 
-// lasted reports whether the need behind a change has lasted long enough; what is not allowed never has to last.
-func (p *Planner) lasted(now time.Time, c Change, seen map[spot]bool) bool {
+// needPersists reports whether the need for a change has lasted for cfg.Persistence. Names that are not allowed are
+// removed without delay.
+func (p *Planner) needPersists(now time.Time, c Change, seen map[modelKey]bool) bool {
 	if c.Reason == NotAllowed {
 		return true
 	}
-	s := spot{region: c.Region, service: c.Service, model: inventory.ParseName(c.Load).Served()}
+	s := modelKey{region: c.Region, service: c.Service, model: inventory.ParseName(c.Load).Served()}
 	seen[s] = true
-	if _, ok := p.since[s]; !ok {
-		p.since[s] = now
+	if _, ok := p.needSince[s]; !ok {
+		p.needSince[s] = now
 	}
-	return now.Sub(p.since[s]) >= p.cfg.Persistence
+	return now.Sub(p.needSince[s]) >= p.cfg.Persistence
 }
 
-// refresh proposes anew in the region of a change, whose services share the weight store.
-func (p *Planner) refresh(now time.Time, groups []*group, region string) {
+// refreshProposals recomputes the proposals in the region of a change, as all services of a region share the weight
+// store.
+func (p *Planner) refreshProposals(now time.Time, groups []*group, region string) {
 	for _, g := range groups {
 		if g.region == region {
-			g.storeBusy = now.Before(p.storeFree[region])
+			g.storeBusy = now.Before(p.storeFreeAt[region])
 			g.proposed = g.proposals()
 		}
 	}
 }
 
-// order notes a change as pending, in the group as well, and takes the weight store for its load.
-func (p *Planner) order(now time.Time, c Change, g *group) {
-	p.wait(now, c.Endpoint, c.Region, c.Models, c.LoadTime)
+// recordOrder records a change as pending, also in its group, and reserves the weight store for the load.
+func (p *Planner) recordOrder(now time.Time, c Change, g *group) {
+	p.addPending(now, c.Endpoint, c.Region, c.Models, c.LoadTime)
 	for _, m := range g.members {
 		if m.Name == c.Endpoint {
-			m.target, m.changing, m.free = g.held(c.Models), true, false
+			m.target, m.changing, m.changeable = g.holdingsOf(c.Models), true, false
 		}
 	}
-	g.arrange()
+	g.recount()
 }
 
-// wait notes that the endpoint is to announce the models, and takes the weight store for the load time.
-func (p *Planner) wait(now time.Time, endpoint, region string, models []string, load time.Duration) {
-	p.pending[endpoint] = pending{models: models, expires: now.Add(load + p.cfg.LoadGrace)}
-	if free := now.Add(load); load > 0 && free.After(p.storeFree[region]) {
-		p.storeFree[region] = free
+// addPending records that the endpoint is to announce the models, and reserves the weight store for the load time.
+func (p *Planner) addPending(now time.Time, endpoint, region string, models []string, load time.Duration) {
+	p.pending[endpoint] = pendingChange{models: models, expires: now.Add(load + p.cfg.LoadGrace)}
+	if free := now.Add(load); load > 0 && free.After(p.storeFreeAt[region]) {
+		p.storeFreeAt[region] = free
 	}
 }
 
-// announced reports whether the models are those that were ordered, in any order; a model may be announced without its version.
-func announced(models, ordered []string) bool {
+// matchesOrder reports whether the announced models are the ordered ones, in any sequence; a model may be announced
+// without its version.
+func matchesOrder(models, ordered []string) bool {
 	return len(models) == len(ordered) && !slices.ContainsFunc(ordered, func(name string) bool {
 		return !slices.Contains(models, name) && !slices.Contains(models, inventory.ParseName(name).Served())
 	})
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -14,8 +14,8 @@
 	"arbutusreel/placement"
 )
 
-// TestChangesAreSafe checks residency, minimum copies, the bound on changes, versions, the weight store and that no engine
-// is ordered twice under changing demand, versions, engines and leaders.
+// TestChangesAreSafe checks residency, minimum copies, the limit of pending changes, versions, the weight store, and
+// that no engine gets a second order during a load, while demand, versions, engines and leaders change.
 func TestChangesAreSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
@@ -38,7 +38,7 @@
 	})
 }
 
-// TestConverges checks that steady demand ends in no more changes.
+// TestConverges checks that no more changes are made after some time of steady demand.
 func TestConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
@@ -55,7 +55,8 @@
 	})
 }
 
-// checkMinimum checks that nothing lacks copies, and no old version stays, while an endpoint could be changed for it.
+// checkMinimum checks that no model lacks copies and no old version stays while an endpoint could be changed to
+// correct it.
 func (w *world) checkMinimum() {
 	least := w.inventory.Contents().Services[0].MinEndpointsPerModel
 	if w.inventory.Rules().MaxPlacementChanges == 0 {
@@ -79,30 +80,30 @@
 	}
 }
 
-// spared reports whether an engine holds a model which, with its adapters, has more copies than are needed.
-func spared(e *emulated, copies map[string]int, least int) bool {
+// canUnload reports whether the engine holds a model that, with its adapters, has more than the least number of copies.
+func canUnload(e *emulatedEngine, copies map[string]int, least int) bool {
 	return slices.ContainsFunc(e.Models, func(name string) bool {
 		model, adapter, _ := split(name)
 		return adapter == "" && copies[model] > least && (copies[model+":a"] > least || !serves(e.Models, model+":a"))
 	})
 }
 
-// checkCopies checks that the engine could not hold what too few do.
-func (w *world) checkCopies(e *emulated, copies map[string]int, least int) {
+// checkCopies checks that the engine could not load a name that has too few copies.
+func (w *world) checkCopies(e *emulatedEngine, copies map[string]int, least int) {
 	for _, name := range w.inventory.Contents().Services[0].Models {
 		if !w.allowed(name, e.Region) || copies[name] >= least || serves(e.Models, name) {
 			continue
 		}
 		model, adapter, _ := split(name)
 		models := len(slices.DeleteFunc(slices.Clone(e.Models), func(held string) bool { return strings.Contains(held, ":") }))
-		if adapter != "" && serves(e.Models, model) || models < e.Capacity || spared(e, copies, max(least, 1)) {
+		if adapter != "" && serves(e.Models, model) || models < e.Capacity || canUnload(e, copies, max(least, 1)) {
 			w.t.Errorf("region %q has %d copies of %q while %q could load it: %v", e.Region, copies[name], name, e.Name, e.Models)
 		}
 	}
 }
 
-// checkVersions checks that the engine holds no old version that others could replace for a while.
-func (w *world) checkVersions(e *emulated, copies map[string]int, least int) {
+// checkVersions checks that the engine holds no old version that enough others serve in the meantime.
+func (w *world) checkVersions(e *emulatedEngine, copies map[string]int, least int) {
 	for _, name := range e.Models {
 		model, _, version := split(name)
 		m, _ := w.inventory.Model(model)
@@ -115,7 +116,7 @@
 	}
 }
 
-// fixedWorld is one region with two models and engines that hold one model each.
+// fixedWorld returns a view of one region with two models and engines that hold one model each, and its planner.
 func fixedWorld(t *testing.T, held ...string) (placement.View, *placement.Planner) {
 	t.Helper()
 	inv, err := inventory.New(inventory.Contents{
@@ -180,8 +181,8 @@
 	}
 }
 
-// TestMakesBeforeBreaking checks that an endpoint keeps a model until the endpoint that loads it has announced it.
-func TestMakesBeforeBreaking(t *testing.T) {
+// TestLoadsBeforeUnloading checks that an endpoint keeps a model until the endpoint that loads it has announced it.
+func TestLoadsBeforeUnloading(t *testing.T) {
 	v, p := fixedWorld(t, "a", "b", "b")
 	v.Demands = []placement.Demand{{Region: "r", Service: "s", Model: "a", TokensPerSecond: 250}, {Region: "r", Service: "s", Model: "b", TokensPerSecond: 20}}
 	changes := decide(p, v, 4)
@@ -215,8 +216,9 @@
 	LoadTime time.Duration
 }
 
-// TestVersionRollsOut checks the order in which engines get the version in force of a model with an adapter: never two at
-// once of which one has to serve the adapter, and by way of a spare engine if only one holds the model.
+// TestVersionRollsOut checks the order in which engines get the version in force of a model with an adapter: two
+// engines are not upgraded at once if one of them has to serve the adapter, and a spare engine is used if only one
+// holds the model.
 func TestVersionRollsOut(t *testing.T) {
 	inv, err := inventory.New(inventory.Contents{
 		Regions: []inventory.Region{{Name: "r"}},
@@ -285,8 +287,8 @@
 	return steps
 }
 
-// TestNeedMustLast checks that a need that comes and goes changes nothing.
-func TestNeedMustLast(t *testing.T) {
+// TestNeedMustPersist checks that a need which appears only in every second period causes no change.
+func TestNeedMustPersist(t *testing.T) {
 	v, p := fixedWorld(t, "a", "a", "b")
 	steady := placement.Demand{Region: "r", Service: "s", Model: "a", TokensPerSecond: 50}
 	quiet := []placement.Demand{steady}
--- a/placement/unit.go
+++ b/placement/unit.go
@@ -7,45 +7,45 @@
 	"arbutusreel/residency"
 )
 
-// Indexes that stand for no unit.
+// Indexes without a unit.
 const (
-	// notOffered is the unit of a name that the inventory does not allow where it is held.
+	// notOffered is the unit of a name that the service may not offer in the region.
 	notOffered = -1
-	// noModel is the model of a unit that is a model itself.
+	// noModel is the model index of a unit that is a model itself.
 	noModel = -1
 )
 
-// unit is a name that a service offers in a region: a model or an adapter of one.
+// unit is a model or adapter that a service offers in a region.
 type unit struct {
-	// name is what callers ask for, and held how an engine names what is in force.
-	name string
-	held string
+	// name is the name that callers request, and versionedName the name that engines announce for the version in force.
+	name          string
+	versionedName string
 	// model is the index of the adapter's model, or noModel.
 	model int
-	// versioned says that a version of the model is in force.
+	// versioned is set if a version of the model is in force.
 	versioned   bool
 	loadSeconds float64
 	// need is the demand to be met, in tokens a second.
 	need float64
 }
 
-// holding is a name that an endpoint holds, with its unit.
+// holding is a name as an endpoint announces it, with the index of its unit.
 type holding struct {
-	held    string
+	name    string
 	unit    int
 	adapter bool
 }
 
-// rank orders what an engine loads: models before adapters.
-func (h holding) rank() int {
+// loadOrder returns the sort key by which models are loaded before adapters.
+func (h holding) loadOrder() int {
 	if h.adapter {
 		return 1
 	}
 	return 0
 }
 
-// unitsOf returns what the service may offer in the region, the models before the adapters.
-func unitsOf(inv *inventory.Inventory, s inventory.Service, region string) []unit {
+// offeredUnits returns the units that the service may offer in the region, models before adapters.
+func offeredUnits(inv *inventory.Inventory, s inventory.Service, region string) []unit {
 	var units []unit
 	for _, adapters := range []bool{false, true} {
 		for _, name := range s.Models {
@@ -54,24 +54,24 @@
 				continue
 			}
 			if residency.Allows(inv, residency.Subject{Service: s.Name, Model: name}, region) {
-				units = append(units, unitOf(inv, name, units))
+				units = append(units, newUnit(inv, name, units))
 			}
 		}
 	}
 	return units
 }
 
-// unitOf returns the unit of a name; an adapter's model, which the service offers wherever it offers the adapter, is among
-// the units.
-func unitOf(inv *inventory.Inventory, name string, units []unit) unit {
+// newUnit returns the unit of a name. The units must contain the model of an adapter, which the service offers
+// wherever it offers the adapter.
+func newUnit(inv *inventory.Inventory, name string, units []unit) unit {
 	n := inventory.ParseName(name)
-	u := unit{name: name, held: name, model: noModel, loadSeconds: loadSeconds(inv, name)}
+	u := unit{name: name, versionedName: name, model: noModel, loadSeconds: loadSeconds(inv, name)}
 	if n.Adapter != "" {
 		u.model = indexOf(units, n.Model)
 		return u
 	}
 	if m, _ := inv.Model(n.Model); m.Version != "" {
-		u.held, u.versioned = n.WithVersion(m.Version).String(), true
+		u.versionedName, u.versioned = n.WithVersion(m.Version).String(), true
 	}
 	return u
 }
@@ -81,7 +81,8 @@
 	return slices.IndexFunc(units, func(u unit) bool { return u.name == name })
 }
 
-// loadSeconds returns how long the weight store takes to serve a name, or zero if its rate is not limited.
+// loadSeconds returns the time in seconds that the weight store takes to serve a name, or zero if its rate is
+// unlimited.
 func loadSeconds(inv *inventory.Inventory, name string) float64 {
 	rate := inv.Rules().WeightStoreBytesPerSecond
 	if rate <= 0 {
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -17,19 +17,19 @@
 
 const (
 	period = 5 * time.Second
-	// grace is the time that a planner adds to a load's own before it counts the load as failed.
-	grace = 30 * time.Second
+	// loadGrace is the time beyond the load time after which a planner counts a load as failed; see Config.LoadGrace.
+	loadGrace = 30 * time.Second
 )
 
-// emulated is an engine that loads after a while what it is ordered to.
-type emulated struct {
+// emulatedEngine is an engine that carries out an order after a delay.
+type emulatedEngine struct {
 	placement.Endpoint
-	next []string
-	at   time.Time
-	// due is when the planner may give its load up.
-	due time.Time
-	// told is what the engine was a period ago, which a late announcement still shows.
-	told placement.Endpoint
+	next     []string
+	loadedAt time.Time
+	// expires is the time from which the planner may count the load as failed.
+	expires time.Time
+	// previous is the state of the previous period, which a late announcement still shows.
+	previous placement.Endpoint
 }
 
 // world is a set of engines under a planner.
@@ -37,7 +37,7 @@
 	t         *rapid.T
 	now       time.Time
 	inventory *inventory.Inventory
-	engines   []*emulated
+	engines   []*emulatedEngine
 	demands   []placement.Demand
 	planner   *placement.Planner
 	lastLoad  map[string]time.Time
@@ -92,7 +92,7 @@
 		for i := range rapid.IntRange(0, 5).Draw(t, "engines") {
 			models := w.inventory.Contents().Models
 			held := rapid.SliceOfNDistinct(rapid.SampledFrom(models), 1, min(2, len(models)), func(m inventory.Model) string { return m.Name }).Draw(t, "held")
-			w.engines = append(w.engines, &emulated{Endpoint: placement.Endpoint{
+			w.engines = append(w.engines, &emulatedEngine{Endpoint: placement.Endpoint{
 				Name: fmt.Sprintf("%s-e%d", r.Name, i), Region: r.Name, FailureDomain: fmt.Sprintf("%s-%d", r.Name, i%2), Service: "s",
 				Models: w.drawHeld(held), Capacity: len(held), TokensPerSecond: 100,
 			}})
@@ -144,19 +144,19 @@
 	w.inventory = inv
 }
 
-// step applies finished loads, decides, checks every change against the engines, and starts it.
+// step applies finished loads, makes a decision, and checks and applies each change.
 func (w *world) step() []placement.Change {
 	w.now = w.now.Add(period)
 	v := placement.View{Inventory: w.inventory, Demands: w.demands}
 	for _, e := range w.engines {
-		if e.next != nil && !w.now.Before(e.at) {
+		if e.next != nil && !w.now.Before(e.loadedAt) {
 			e.Models, e.Loading, e.next = e.next, nil, nil
 		}
 		shown := e.Endpoint
-		if e.told.Name != "" && w.late() {
-			shown = e.told
+		if e.previous.Name != "" && w.late() {
+			shown = e.previous
 		}
-		e.told = e.Endpoint
+		e.previous = e.Endpoint
 		v.Endpoints = append(v.Endpoints, shown)
 	}
 	changes := w.planner.Decide(w.now, v)
@@ -177,14 +177,14 @@
 	return model, adapter, version
 }
 
-// servedName returns a held name as callers ask for it.
+// servedName returns the name that callers request for a held name.
 func servedName(held string) string {
 	served, _, _ := strings.Cut(held, "@")
 	return served
 }
 
-// left returns what an engine goes on to serve while it carries out an order.
-func left(held, ordered []string) []string {
+// retained returns the names that an engine keeps serving while it carries out an order.
+func retained(held, ordered []string) []string {
 	kept := slices.DeleteFunc(slices.Clone(held), func(name string) bool { return !slices.Contains(ordered, name) })
 	return slices.DeleteFunc(kept, func(name string) bool {
 		model, adapter, _ := split(name)
@@ -192,30 +192,30 @@
 	})
 }
 
-// added returns what an engine has to load for an order.
-func added(held, ordered []string) []string {
-	kept := left(held, ordered)
+// toLoad returns the names that an engine has to load for an order.
+func toLoad(held, ordered []string) []string {
+	kept := retained(held, ordered)
 	return slices.DeleteFunc(slices.Clone(ordered), func(name string) bool { return slices.Contains(kept, name) })
 }
 
 // find returns the engine of that name.
-func (w *world) find(name string) *emulated {
-	i := slices.IndexFunc(w.engines, func(e *emulated) bool { return e.Name == name })
+func (w *world) find(name string) *emulatedEngine {
+	i := slices.IndexFunc(w.engines, func(e *emulatedEngine) bool { return e.Name == name })
 	return w.engines[i]
 }
 
-// check holds a change against the inventory and what the engines serve at this moment.
+// check checks a change against the inventory and the present state of the engines.
 func (w *world) check(c placement.Change) {
 	e := w.find(c.Endpoint)
-	if len(e.Loading) > 0 && w.now.Before(e.due) {
+	if len(e.Loading) > 0 && w.now.Before(e.expires) {
 		w.t.Errorf("endpoint %q is ordered to hold %v while it loads %v", e.Name, c.Models, e.Loading)
 	}
-	for _, name := range added(e.Models, c.Models) {
+	for _, name := range toLoad(e.Models, c.Models) {
 		w.checkLoad(c, name)
 	}
-	w.checkStore(c, e)
+	w.checkWeightStore(c, e)
 	for _, name := range e.Models {
-		if served := servedName(name); w.allowed(served, c.Region) && !serves(left(e.Models, c.Models), served) {
+		if served := servedName(name); w.allowed(served, c.Region) && !serves(retained(e.Models, c.Models), served) {
 			w.checkOthers(c, served)
 		}
 	}
@@ -236,7 +236,7 @@
 	}
 }
 
-// checkOthers checks that enough others serve what the endpoint gives up.
+// checkOthers checks that enough other engines serve a name that the endpoint unloads.
 func (w *world) checkOthers(c placement.Change, served string) {
 	others := 0
 	for _, e := range w.engines {
@@ -253,10 +253,10 @@
 	return slices.ContainsFunc(held, func(name string) bool { return servedName(name) == served })
 }
 
-// bytes returns the weights that an engine has to load for an order.
-func (w *world) bytes(e *emulated, ordered []string) time.Duration {
+// loadDuration returns the time that the weight store takes for an order, at one byte a second.
+func (w *world) loadDuration(e *emulatedEngine, ordered []string) time.Duration {
 	var total int64
-	for _, name := range added(e.Models, ordered) {
+	for _, name := range toLoad(e.Models, ordered) {
 		model, adapter, _ := split(name)
 		if adapter != "" {
 			a, _ := w.inventory.Adapter(model, adapter)
@@ -269,19 +269,19 @@
 	return time.Duration(total) * time.Second
 }
 
-// checkStore checks that the loads of a region do not overlap.
-func (w *world) checkStore(c placement.Change, e *emulated) {
-	load := w.bytes(e, c.Models)
+// checkWeightStore checks that the weight store of a region serves one load at a time.
+func (w *world) checkWeightStore(c placement.Change, e *emulatedEngine) {
+	load := w.loadDuration(e, c.Models)
 	if load == 0 {
 		return
 	}
 	if w.now.Before(w.lastLoad[c.Region]) {
-		w.t.Errorf("region %q loads %q before the weight store has served the load before", c.Region, c.Load)
+		w.t.Errorf("region %q loads %q before the weight store has served the previous load", c.Region, c.Load)
 	}
 	w.lastLoad[c.Region] = w.now.Add(load)
 }
 
-// allowed is a plain oracle of residency for a model or an adapter.
+// allowed is an independent oracle of residency for a model or an adapter.
 func (w *world) allowed(served, region string) bool {
 	model, adapter, _ := split(served)
 	m, ok := w.inventory.Model(model)
@@ -296,13 +296,13 @@
 	return adapter == ""
 }
 
-// apply makes the engine give up names at once and load the new ones after a while.
+// apply makes the engine unload names at once and serve the new ones after a delay.
 func (w *world) apply(c placement.Change) {
 	e := w.find(c.Endpoint)
-	load := w.bytes(e, c.Models)
+	load := w.loadDuration(e, c.Models)
 	w.orders++
 	e.Order = fencing.Number{Term: 1, Sequence: w.orders}
-	e.Loading = added(e.Models, c.Models)
-	e.Models = left(e.Models, c.Models)
-	e.next, e.at, e.due = c.Models, w.now.Add(max(w.delay(), load)), w.now.Add(load+grace)
+	e.Loading = toLoad(e.Models, c.Models)
+	e.Models = retained(e.Models, c.Models)
+	e.next, e.loadedAt, e.expires = c.Models, w.now.Add(max(w.delay(), load)), w.now.Add(load+loadGrace)
 }
--- a/residency/allowed.go
+++ b/residency/allowed.go
@@ -6,14 +6,14 @@
 	"arbutusreel/inventory"
 )
 
-// Subject is what residency is decided for; an empty Service or Model adds no bound, and Model may be MODEL:ADAPTER.
+// Subject is a request or its data; an empty Service or Model adds no restriction, and Model may be MODEL:ADAPTER.
 type Subject struct {
 	Labels  []string
 	Service string
 	Model   string
 }
 
-// Allows reports whether the subject may be handled in the region.
+// Allows reports whether the subject may be handled in the region; a region that the inventory lacks is not allowed.
 func Allows(inv *inventory.Inventory, s Subject, region string) bool {
 	if _, ok := inv.Region(region); !ok {
 		return false
@@ -21,7 +21,7 @@
 	return labelsAllow(inv, s.Labels, region) && serviceAllows(inv, s.Service, region) && modelAllows(inv, s.Model, region)
 }
 
-// Allowed returns the regions in which the subject may be handled, in the inventory's order.
+// Allowed returns the regions in which the subject may be handled, in inventory order.
 func Allowed(inv *inventory.Inventory, s Subject) []string {
 	var regions []string
 	for _, r := range inv.Contents().Regions {
@@ -66,7 +66,7 @@
 	return ok && allowsRegion(adapter.AllowedRegions, region)
 }
 
-// allowsRegion reports whether a list holds the region; an empty list allows every region.
+// allowsRegion reports whether a list contains the region; an empty list allows every region.
 func allowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/residency/bench_test.go
+++ b/residency/bench_test.go
@@ -9,7 +9,7 @@
 	"arbutusreel/residency"
 )
 
-// BenchmarkCheckData measures one check over inventories with a growing number of regions and teams.
+// BenchmarkCheckData measures one check at growing numbers of regions and teams.
 func BenchmarkCheckData(b *testing.B) {
 	for _, size := range []struct{ regions, teams int }{{3, 3}, {9, 60}, {21, 360}} {
 		c := inventory.Contents{
--- a/residency/crossing.go
+++ b/residency/data.go
@@ -6,14 +6,15 @@
 	"arbutusreel/inventory"
 )
 
-// Kinds of what bounds data to regions.
+// Kinds of inventory items that restrict data to regions.
 const (
 	kindTeam   = "team"
 	kindLabel  = "label"
 	kindRegion = "region"
 )
 
-// Labels returns the request's labels with those that the inventory gives to its team; an unknown team returns *RefusedError.
+// Labels returns the labels of a request and those of its team in the inventory, or *RefusedError if the team is
+// unknown.
 func Labels(inv *inventory.Inventory, team string, labels []string) ([]string, error) {
 	t, ok := inv.Team(team)
 	if !ok {
@@ -30,8 +31,8 @@
 
 // CheckData returns *RefusedError unless data of the team with the labels may be in the region.
 //
-// Both the labels that the data bears and those of the team in the inventory
-// bind it, so that a sender with an older inventory cannot leave one out.
+// Both the labels of the data and those of the team in the inventory apply, so
+// that a sender with an older inventory cannot omit one.
 func CheckData(inv *inventory.Inventory, team string, labels []string, region string) error {
 	if _, ok := inv.Region(region); !ok {
 		return &RefusedError{Region: region, Kind: kindRegion, Name: region, Reason: "no region has this name"}
--- a/residency/oracle_test.go
+++ b/residency/oracle_test.go
@@ -13,12 +13,12 @@
 	"arbutusreel/residency"
 )
 
-// world is an inventory as plain tables, from which the oracle decides.
+// world is an inventory as plain tables, which the oracle evaluates.
 type world struct {
 	regions []string
 	labels  map[string][]string
 	models  map[string][]string
-	// adapters bounds the adapter x of a model; a model without an entry has none.
+	// adapters holds the allowed regions of the adapter x of a model; a model without an entry has no adapter.
 	adapters map[string][]string
 	services map[string][]string
 	teams    map[string][]string
@@ -87,43 +87,43 @@
 	return inv
 }
 
-// oracle decides by striking out every region that some table forbids.
+// oracle removes every region that some table forbids; it is independent of the package under test.
 func (w world) oracle(team string, s residency.Subject, region string, run bool) bool {
-	open := map[string]bool{}
+	permitted := map[string]bool{}
 	for _, r := range w.regions {
-		open[r] = true
+		permitted[r] = true
 	}
-	strike := func(table map[string][]string, name string, emptyAllows bool) {
+	forbid := func(table map[string][]string, name string, emptyAllows bool) {
 		allowed, defined := table[name]
-		for r := range open {
+		for r := range permitted {
 			if !defined || (!slices.Contains(allowed, r) && (!emptyAllows || len(allowed) > 0)) {
-				open[r] = false
+				permitted[r] = false
 			}
 		}
 	}
 	for _, l := range s.Labels {
-		strike(w.labels, l, false)
+		forbid(w.labels, l, false)
 	}
 	if team != "" {
 		teamLabels, defined := w.teams[team]
 		for _, l := range teamLabels {
-			strike(w.labels, l, false)
+			forbid(w.labels, l, false)
 		}
 		if !defined {
 			return false
 		}
 	}
 	if run && s.Service != "" {
-		strike(w.services, s.Service, true)
+		forbid(w.services, s.Service, true)
 	}
 	if run && s.Model != "" {
 		model, adapter, _ := strings.Cut(s.Model, ":")
-		strike(w.models, model, true)
+		forbid(w.models, model, true)
 		if adapter != "" {
-			strike(w.adapters, model, true)
+			forbid(w.adapters, model, true)
 		}
 	}
-	return open[region]
+	return permitted[region]
 }
 
 var modelNames = []string{"", "m0", "m1", "m2", "m0:x", "m1:x", "absent", "absent:x"}
@@ -171,7 +171,8 @@
 	}
 }
 
-// TestRuleChange checks that a crossing needs the leave of the sender's inventory and of the receiver's, whichever is older.
+// TestRuleChange checks that data may pass to another region only if the inventories of sender and receiver both
+// allow it, whichever is older.
 func TestRuleChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := drawWorld(t)
@@ -183,7 +184,7 @@
 		allowed := residency.CheckData(sender, team, s.Labels, region) == nil && residency.CheckData(receiver, team, s.Labels, region) == nil
 		both := before.oracle(team, s, region, false) && after.oracle(team, s, region, false)
 		if allowed != both {
-			t.Errorf("crossing allowed %v, oracle of both %v", allowed, both)
+			t.Errorf("transfer allowed %v, oracle of both %v", allowed, both)
 		}
 	})
 }
--- a/routes/errors.go
+++ b/routes/errors.go
@@ -6,14 +6,14 @@
 	"arbutusreel/fault"
 )
 
-// Fault says what is wrong with a route or a service.
+// Fault is a validation error of one route or service.
 type Fault struct {
 	Route   string
 	Service string
 	Reason  string
 }
 
-// Error names the route or the service and the reason.
+// Error returns the name of the route or service and the reason.
 func (f *Fault) Error() string {
 	if f.Route != "" {
 		return fmt.Sprintf("route %q: %s", f.Route, f.Reason)
@@ -21,5 +21,5 @@
 	return fmt.Sprintf("service %q: %s", f.Service, f.Reason)
 }
 
-// Faults are all faults of a table.
+// Faults are all validation errors of a table.
 type Faults = fault.List[*Fault]
--- a/routes/table.go
+++ b/routes/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Kind tells what may be done with a request of a route.
+// Kind determines how often a request of a route may run and how it is answered.
 type Kind int
 
 // Kinds of routes.
@@ -37,26 +37,26 @@
 	Weight  int64
 }
 
-// Route tells how requests under a host and a path prefix are handled.
+// Route configures how requests under a host and a path prefix are handled.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
 	Backends   []Backend
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may wait.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event, should begin.
+	// Objective is the target time to the start of an answer or to the first event of a stream.
 	Objective time.Duration
-	// Gap is the longest pause between two events of a stream that is on time; zero bounds nothing.
+	// Gap is the target for the longest pause between two events of a stream; zero sets no target.
 	Gap time.Duration
 	// Priority ranks the route among those of its service; zero is the most urgent.
 	Priority int
-	// MaxAttempts is the number of endpoints that one request may be sent to.
+	// MaxAttempts is the greatest number of endpoints that one request may be sent to.
 	MaxAttempts int
-	// Resumable streams may go on at another endpoint after the last event that was passed on.
+	// Resumable streams may be resumed at another endpoint after the last forwarded event.
 	Resumable bool
-	// Affinity says that requests name the parts of their prompt, which endpoints cache.
+	// Affinity enables prefix cache affinity: requests name the parts of their prompt, which endpoints cache.
 	Affinity bool
 	// Homes are the regions in which requests may be served; empty allows every region.
 	Homes []string
@@ -74,11 +74,11 @@
 type Engine struct {
 	// BatchSlots is the number of requests that an engine decodes at once.
 	BatchSlots int
-	// CacheTokens is the number of tokens that an engine's memory holds.
+	// CacheTokens is the number of tokens that an engine's KV cache holds.
 	CacheTokens int64
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// FetchTime is the time to fetch one token of a prompt from another engine that keeps it; zero if engines cannot.
+	// FetchTime is the time to fetch the cache of one prompt token from another engine; zero if engines cannot fetch.
 	FetchTime time.Duration
 }
 
@@ -87,15 +87,15 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// ColdTime is how long an endpoint stays cold after it starts.
+	// ColdTime is the length of the warm-up after an endpoint starts.
 	ColdTime time.Duration
-	// ColdRate is the number of requests a second that a cold endpoint bears; zero bounds nothing.
+	// ColdRate is the limit of requests a second at a cold endpoint; zero sets no limit.
 	ColdRate float64
-	// Engine is nil for a plain service.
+	// Engine is nil for a service that is no model engine.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send, and how long it may take or stay idle.
+// Limits are the configured limits on what a caller may send, and on how long it may take or stay idle.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -103,7 +103,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is a whole routing configuration.
+// Table is a validated routing configuration.
 type Table struct {
 	version  int64
 	limits   Limits
@@ -111,7 +111,7 @@
 	hosts    map[string][]*Route
 }
 
-// New returns the table of a version; faults in the routes return Faults.
+// New returns the table of a version, or Faults if a route or service is not valid.
 func New(version int64, all []Route, services []Service, limits Limits) (*Table, error) {
 	t := &Table{version: version, limits: limits, services: map[string]*Service{}, hosts: map[string][]*Route{}}
 	var faults Faults
@@ -122,48 +122,49 @@
 		t.services[s.Name] = &s
 	}
 	for _, r := range all {
-		faults = append(faults, t.add(&r)...)
+		faults = append(faults, t.addRoute(&r)...)
 	}
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	for _, of := range t.hosts {
-		slices.SortFunc(of, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
+	for _, hostRoutes := range t.hosts {
+		slices.SortFunc(hostRoutes, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
 	return t, nil
 }
 
-func (t *Table) add(r *Route) Faults {
+// addRoute adds the route and returns its faults.
+func (t *Table) addRoute(r *Route) Faults {
 	var faults Faults
-	fault := func(reason string) { faults = append(faults, &Fault{Route: r.Name, Reason: reason}) }
+	addFault := func(reason string) { faults = append(faults, &Fault{Route: r.Name, Reason: reason}) }
 	if r.Host == "" {
-		fault("the host is missing")
+		addFault("the host is missing")
 	}
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-		fault("the path prefix does not begin and end with a slash")
+		addFault("the path prefix does not begin and end with a slash")
 	}
 	if r.Timeout <= 0 {
-		fault("the timeout is not greater than zero")
+		addFault("the timeout is not greater than zero")
 	}
 	if r.MaxAttempts < 1 {
-		fault("the number of attempts is not greater than zero")
+		addFault("the number of attempts is not greater than zero")
 	}
 	var weight int64
 	for _, b := range r.Backends {
 		if t.services[b.Service] == nil {
-			fault("the service " + b.Service + " does not exist")
+			addFault("the service " + b.Service + " does not exist")
 		}
 		if b.Weight < 0 {
-			fault("the weight of " + b.Service + " is negative")
+			addFault("the weight of " + b.Service + " is negative")
 		}
 		weight += b.Weight
 	}
 	if weight <= 0 {
-		fault("the weights add up to zero")
+		addFault("the weights add up to zero")
 	}
 	host := strings.ToLower(r.Host)
 	if slices.ContainsFunc(t.hosts[host], func(other *Route) bool { return other.PathPrefix == r.PathPrefix }) {
-		fault("another route has the same host and path prefix")
+		addFault("another route has the same host and path prefix")
 	}
 	t.hosts[host] = append(t.hosts[host], r)
 	return faults
@@ -172,14 +173,13 @@
 // Version returns the table's version.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits of requests and connections.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Service returns a service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Homes returns the regions in which every route of a host that is bound to regions may be served, or nil if none is
-// bound.
+// Homes returns the regions that every region-bound route of a host allows, or nil if the host has no such route.
 func (t *Table) Homes(host string) []string {
 	var homes []string
 	bound := false
@@ -206,18 +206,18 @@
 	return nil
 }
 
-// Choose returns the service for a draw in [0, 1), by the weights of the backends.
+// Choose returns the service that a uniform draw in [0, 1) selects by the weights of the backends.
 func (r *Route) Choose(draw float64) string {
 	var total int64
 	for _, b := range r.Backends {
 		total += b.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, b := range r.Backends {
-		if left < float64(b.Weight) {
+		if remaining < float64(b.Weight) {
 			return b.Service
 		}
-		left -= float64(b.Weight)
+		remaining -= float64(b.Weight)
 	}
 	return r.Backends[len(r.Backends)-1].Service
 }
--- a/routes/table_test.go
+++ b/routes/table_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestHomes gathers the homes of a host's routes: only regions in which all of them may be served.
+// TestHomes checks that Homes returns only the regions that all restricted routes of a host allow.
 func TestHomes(t *testing.T) {
 	route := func(host, prefix string, homes ...string) Route {
 		return Route{
