--- a/completion/answer.go
+++ b/completion/answer.go
@@ -40,7 +40,7 @@
 // Done is the data of the last event of a streamed answer.
 const Done = "[DONE]"
 
-// Answer writes the answer of one request; its events bear the attempt only if there is one.
+// Answer encodes the answer to one request; its events contain the attempt only if Attempt is not nil.
 type Answer struct {
 	Kind    Kind
 	ID      string
@@ -48,7 +48,7 @@
 	Attempt *int
 }
 
-// Chunk returns the event of a piece.
+// Chunk returns the event for a piece.
 func (a Answer) Chunk(p stream.Piece) []byte {
 	c := choice{}
 	if a.Kind == Chat {
@@ -61,7 +61,7 @@
 	return encode(m)
 }
 
-// End returns the event that ends a streamed answer, which Done follows.
+// End returns the event that ends a streamed answer and precedes Done.
 func (a Answer) End(e stream.End) []byte {
 	c := choice{FinishReason: &e.FinishReason}
 	if a.Kind == Chat {
@@ -72,7 +72,7 @@
 	return encode(m)
 }
 
-// Whole returns an answer that is not streamed.
+// Whole returns a complete answer that is not streamed.
 func (a Answer) Whole(text string, e stream.End) []byte {
 	c := choice{FinishReason: &e.FinishReason}
 	if a.Kind == Chat {
@@ -113,7 +113,7 @@
 	return b
 }
 
-// Event is what DecodeChunk read: a piece of text, the end of the answer, or both.
+// Event is a decoded event of a streamed answer: a piece of text, the end of the answer, or both.
 type Event struct {
 	ID           string
 	Attempt      int
@@ -122,14 +122,16 @@
 	HasPosition  bool
 	Text         string
 	FinishReason string
-	// Pieces is the number of pieces that the end counts; HasUsage is false if it counts none.
+	// Pieces is the number of pieces of the answer as counted by its last event; HasUsage is false if the event has
+	// no count.
 	Pieces       int
 	HasUsage     bool
 	PromptTokens int
 	CachedTokens int
 }
 
-// DecodeChunk reads one event of a streamed answer; a fault returns *MalformedError or *RangeError.
+// DecodeChunk decodes one event of a streamed answer; it returns *MalformedError or *RangeError if the event is
+// invalid.
 func DecodeChunk(b []byte) (Event, error) {
 	var c chunk
 	if err := json.Unmarshal(b, &c); err != nil {
@@ -161,11 +163,11 @@
 		e.PromptTokens = c.Usage.PromptTokens
 		e.CachedTokens = c.Usage.CachedTokens
 	}
-	return e, e.check()
+	return e, e.validate()
 }
 
-// check returns *RangeError for a number below zero.
-func (e Event) check() error {
+// validate returns *RangeError for a negative number.
+func (e Event) validate() error {
 	numbers := []struct {
 		field string
 		value int
--- a/completion/fuzz_test.go
+++ b/completion/fuzz_test.go
@@ -6,7 +6,7 @@
 	"arbutusreel/completion"
 )
 
-// FuzzDecode checks that a request that was taken has a model and numbers of use.
+// FuzzDecode checks that an accepted request has a model and positive token counts.
 func FuzzDecode(f *testing.F) {
 	f.Add(true, []byte(`{"model":"m","max_tokens":4,"stream":true,"messages":[{"role":"user","content":"hello"}]}`))
 	f.Add(true, []byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"hello"}]}]}`))
@@ -26,12 +26,12 @@
 			return
 		}
 		if r.Model == "" || r.PromptTokens <= 0 || r.MaxTokens <= 0 {
-			t.Errorf("request %+v was taken", r)
+			t.Errorf("invalid request %+v was accepted", r)
 		}
 	})
 }
 
-// FuzzDecodeChunk checks that an event that was taken has numbers of use.
+// FuzzDecodeChunk checks that an accepted event has no negative number.
 func FuzzDecodeChunk(f *testing.F) {
 	f.Add([]byte(`{"id":"c","position":0,"choices":[{"index":0,"delta":{"content":"a "},"finish_reason":null}]}`))
 	f.Add([]byte(`{"id":"c","choices":[{"text":"a","finish_reason":"stop"}],"usage":{"prompt_tokens":1,"completion_tokens":2}}`))
@@ -43,7 +43,7 @@
 			return
 		}
 		if e.Position < 0 || e.Attempt < 0 || e.Pieces < 0 || e.PromptTokens < 0 || e.CachedTokens < 0 {
-			t.Errorf("event %+v was taken", e)
+			t.Errorf("invalid event %+v was accepted", e)
 		}
 	})
 }
--- a/completion/request.go
+++ b/completion/request.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Kind tells chat completions from text completions.
+// Kind distinguishes chat completions from text completions.
 type Kind int
 
 // Kinds of completions.
@@ -15,13 +15,13 @@
 	Text
 )
 
-// bytesPerToken estimates the length of a prompt in tokens from its bytes.
+// bytesPerToken is the number of prompt bytes that are estimated as one token.
 const bytesPerToken = 4
 
-// defaultMaxTokens is the longest answer of a request that names none.
+// defaultMaxTokens is the maximum length in tokens of an answer whose request does not set one.
 const defaultMaxTokens = 1024
 
-// Request is what the gateway reads of a caller's request; Fields holds all of it.
+// Request is the part of a caller's request that the gateway reads; Fields holds the whole request.
 type Request struct {
 	Kind         Kind
 	Model        string
@@ -32,7 +32,7 @@
 	Fields       map[string]json.RawMessage
 }
 
-// MalformedError says which field of a request cannot be read.
+// MalformedError reports a field of a request that cannot be decoded.
 type MalformedError struct {
 	Field string
 	Cause error
@@ -46,7 +46,7 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// MissingError says which field a request lacks.
+// MissingError reports a required field that a request lacks.
 type MissingError struct {
 	Field string
 }
@@ -56,24 +56,25 @@
 	return fmt.Sprintf("completion request: field %q is required", e.Field)
 }
 
-// RangeError says that a number of a request or an event is too small.
+// RangeError reports that a number of a request or an event is too small.
 type RangeError struct {
 	Field string
 	Least int
 }
 
-// Error names the field and its least value.
+// Error names the field and its minimum.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("completion request: field %q is at least %d", e.Field, e.Least)
 }
 
-// message is a chat message on the wire.
+// message is the JSON form of a chat message.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// Decode reads a caller's request; a fault returns *MalformedError, *MissingError or *RangeError.
+// Decode decodes a caller's request; it returns *MalformedError, *MissingError or *RangeError if the request is
+// invalid.
 func Decode(kind Kind, body []byte) (Request, error) {
 	r := Request{Kind: kind, MaxTokens: defaultMaxTokens}
 	if err := json.Unmarshal(body, &r.Fields); err != nil {
@@ -88,7 +89,7 @@
 		{"max_tokens", &r.MaxTokens},
 	}
 	for _, t := range targets {
-		if err := r.read(t.field, t.value); err != nil {
+		if err := r.decodeField(t.field, t.value); err != nil {
 			return Request{}, err
 		}
 	}
@@ -98,15 +99,15 @@
 	if r.MaxTokens < 1 {
 		return Request{}, &RangeError{Field: "max_tokens", Least: 1}
 	}
-	if err := r.readPrompt(); err != nil {
+	if err := r.decodePrompt(); err != nil {
 		return Request{}, err
 	}
 	r.PromptTokens = len(r.Prompt)/bytesPerToken + 1
 	return r, nil
 }
 
-// read decodes a field that the request may leave out.
-func (r *Request) read(field string, value any) error {
+// decodeField decodes an optional field of the request into value.
+func (r *Request) decodeField(field string, value any) error {
 	raw, ok := r.Fields[field]
 	if !ok || string(raw) == "null" {
 		return nil
@@ -117,18 +118,18 @@
 	return nil
 }
 
-func (r *Request) readPrompt() error {
+func (r *Request) decodePrompt() error {
 	if r.Kind == Text {
 		if _, ok := r.Fields["prompt"]; !ok {
 			return &MissingError{Field: "prompt"}
 		}
-		return r.read("prompt", &r.Prompt)
+		return r.decodeField("prompt", &r.Prompt)
 	}
 	var messages []message
 	if _, ok := r.Fields["messages"]; !ok {
 		return &MissingError{Field: "messages"}
 	}
-	if err := r.read("messages", &messages); err != nil {
+	if err := r.decodeField("messages", &messages); err != nil {
 		return err
 	}
 	var b strings.Builder
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -9,7 +9,8 @@
 	"arbutusreel/decision"
 )
 
-// FuzzWrite checks that a line written by the logger is found under its id and under nothing that a value says.
+// FuzzWrite checks that a line written by the logger is found under its id, and that text in a value is never taken
+// for a key.
 func FuzzWrite(f *testing.F) {
 	f.Add("c1", `"correlationId":"c2"`)
 	f.Add(`a"b\`, `\`)
@@ -20,7 +21,7 @@
 		log.Info().Str("value", value).Str("correlationId", id).Msg("line")
 		var line struct{ CorrelationID string }
 		if len(s.Lines(decision.Subject{Kind: decision.Request, Name: "c2"})) > 0 && id != "c2" {
-			t.Errorf("the value %q passed for a key", value)
+			t.Errorf("the value %q was taken for a key", value)
 		}
 		for _, text := range s.Lines(decision.Subject{Kind: decision.Request, Name: id}) {
 			if err := json.Unmarshal([]byte(text), &line); err != nil {
--- a/decision/order.go
+++ b/decision/order.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// moment is what the order of lines rests on.
-type moment struct {
+// lineHeader holds the fields by which lines are ordered.
+type lineHeader struct {
 	Time     string `json:"time"`
 	Instance string `json:"instance"`
 }
 
-// Merge returns the lines of several instances as one story, in the order of their times.
+// Merge returns the lines of several instances in the order of their times.
 //
-// Lines of one instance keep their order. Clocks of instances may differ, so
-// the order across instances is as good as the clocks.
-func Merge(stories ...[]string) []string {
-	type stamped struct {
-		moment
+// Lines of one instance keep their order. The order across instances is only as
+// accurate as the clocks of the instances, which may differ.
+func Merge(logs ...[]string) []string {
+	type timedLine struct {
+		lineHeader
 		text string
 	}
-	var all []stamped
-	for _, story := range stories {
+	var all []timedLine
+	for _, log := range logs {
 		last := ""
-		for _, text := range story {
-			s := stamped{text: text}
-			_ = json.Unmarshal([]byte(text), &s.moment)
+		for _, text := range log {
+			s := timedLine{text: text}
+			_ = json.Unmarshal([]byte(text), &s.lineHeader)
 			s.Time = max(s.Time, last)
 			last = s.Time
 			all = append(all, s)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b stamped) int { return strings.Compare(a.Time, b.Time) })
+	slices.SortStableFunc(all, func(a, b timedLine) int { return strings.Compare(a.Time, b.Time) })
 	merged := make([]string, 0, len(all))
 	for _, s := range all {
 		merged = append(merged, s.text)
--- a/decision/store.go
+++ b/decision/store.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// lineOverhead is the memory in bytes that a line takes besides its text.
+// lineOverhead is the memory in bytes that a line takes in addition to its text.
 const lineOverhead = 96
 
 // Subject is what a line explains: a request or a placement.
@@ -20,7 +20,7 @@
 	Name string
 }
 
-// Kind is the kind of a subject; its text is the key of the name in a line.
+// Kind is the kind of a subject; its value is the log key of the name.
 type Kind string
 
 // Kinds of subjects.
@@ -35,7 +35,7 @@
 	subjects []Subject
 }
 
-// Store keeps lines; it is safe for concurrent use.
+// Store keeps log lines in memory; it is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	maxBytes int
@@ -65,7 +65,7 @@
 	return len(b), nil
 }
 
-// WriteLevel keeps the line whatever its level.
+// WriteLevel is Write for a line of any level.
 func (s *Store) WriteLevel(_ zerolog.Level, b []byte) (int, error) { return s.Write(b) }
 
 // Lines returns the kept lines of the subject, oldest first.
@@ -97,12 +97,11 @@
 		s.index[subject] = append(s.index[subject], n)
 	}
 	for s.bytes > s.maxBytes {
-		s.forget()
+		s.evictOldest()
 	}
 }
 
-// forget drops the oldest line.
-func (s *Store) forget() {
+func (s *Store) evictOldest() {
 	oldest := s.lines[0]
 	for _, subject := range oldest.subjects {
 		s.index[subject] = s.index[subject][1:]
@@ -122,17 +121,17 @@
 func subjectsOf(b []byte) []Subject {
 	var subjects []Subject
 	for _, kind := range []Kind{Request, Placement} {
-		if name, ok := field(b, string(kind)); ok && name != "" {
+		if name, ok := stringField(b, string(kind)); ok && name != "" {
 			subjects = append(subjects, Subject{Kind: kind, Name: name})
 		}
 	}
 	return slices.Clip(subjects)
 }
 
-// field returns the text of a string field of a JSON object, found without decoding the rest.
+// stringField returns the value of a string field of a JSON object without decoding the other fields.
 //
-// Quotes within values are escaped, so the searched text can only be a key.
-func field(b []byte, key string) (string, bool) {
+// Quotes within values are escaped, so the searched text can only match a key.
+func stringField(b []byte, key string) (string, bool) {
 	_, rest, found := bytes.Cut(b, []byte(`"`+key+`":"`))
 	if !found {
 		return "", false
@@ -151,7 +150,7 @@
 	return text, true
 }
 
-// quoteEnd returns the index of the quote that ends a JSON string, or -1, and whether the string has escapes.
+// quoteEnd returns the index of the quote that ends a JSON string, or -1, and whether the string contains escapes.
 func quoteEnd(b []byte) (end int, escaped bool) {
 	for i := 0; i < len(b); i++ {
 		switch b[i] {
--- a/decision/store_test.go
+++ b/decision/store_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestStoreIsBounded checks the bound and that exactly the newest lines are kept.
+// TestStoreIsBounded checks the limit in bytes, and that exactly the newest lines are kept.
 func TestStoreIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(200, 2000).Draw(t, "limit")
@@ -72,7 +72,7 @@
 	)
 	want := []string{`{"time":"1","instance":"b"}`, `{"time":"2","instance":"a"}`, `{"time":"1","instance":"a","clock":"went back"}`, `{"time":"3","instance":"b"}`}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("story (-want +got):\n%s", diff)
+		t.Errorf("merged lines (-want +got):\n%s", diff)
 	}
 }
 
--- a/dispatch/abandon_test.go
+++ b/dispatch/abandon_test.go
@@ -12,22 +12,22 @@
 	"arbutusreel/stream"
 )
 
-// leaver is a caller that leaves after a number of pieces, if it is above zero.
-type leaver struct {
+// cancelingCaller is a caller that cancels its request after cancelAfter pieces, if that is above zero.
+type cancelingCaller struct {
 	collector
-	after int
-	leave context.CancelFunc
+	cancelAfter int
+	cancel      context.CancelFunc
 }
 
-func (l *leaver) Piece(p stream.Piece) error {
+func (l *cancelingCaller) Piece(p stream.Piece) error {
 	err := l.collector.Piece(p)
-	if l.after > 0 && l.n == l.after {
-		l.leave()
+	if l.cancelAfter > 0 && l.n == l.cancelAfter {
+		l.cancel()
 	}
 	return err
 }
 
-// counselRequest has one of 20 prefixes and an answer of 40 tokens on average.
+// counselRequest returns a request with one of 20 prefixes and an answer of 40 tokens on average.
 func counselRequest(rng *rand.Rand, id string) Request {
 	r := request(id, 1+rng.IntN(79), "plan", 30*time.Second)
 	prefix := rng.IntN(20)
@@ -38,28 +38,29 @@
 	return r
 }
 
-// sendLeaving sends a request whose caller leaves with probability one half, and notes the first token of the others.
-func (res *results) sendLeaving(w *world, region string, began time.Time, rng *rand.Rand, r Request, wg *sync.WaitGroup) {
-	l := &leaver{}
+// sendCanceling sends a request whose caller cancels it with probability one half, and samples the first token of the
+// others.
+func (res *results) sendCanceling(w *world, region string, began time.Time, rng *rand.Rand, r Request, wg *sync.WaitGroup) {
+	l := &cancelingCaller{}
 	if rng.Float64() < 0.5 {
-		l.after = 1 + rng.IntN(20)
+		l.cancelAfter = 1 + rng.IntN(20)
 	}
 	wg.Go(func() {
 		at := time.Now()
-		ctx, leave := context.WithDeadline(context.Background(), r.Deadline)
-		defer leave()
-		l.leave = leave
+		ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
+		defer cancel()
+		l.cancel = cancel
 		_, err := w.entry(region).Generate(ctx, r, l)
 		res.mu.Lock()
 		defer res.mu.Unlock()
-		if l.after == 0 {
+		if l.cancelAfter == 0 {
 			res.samples = append(res.samples, sample{region: region, at: at.Sub(began), first: l.first.Sub(at), err: err})
 		}
 	})
 }
 
-// TestMeasureAbandoned compares the policies while half of the streams are left by their callers, so that a request is
-// at an endpoint for hardly longer than the age of a report.
+// TestMeasureAbandoned compares the policies while half of the streams are canceled by their callers, so that a
+// request stays at an endpoint for hardly longer than the age of a load report.
 func TestMeasureAbandoned(t *testing.T) {
 	for _, rate := range rows([]float64{60, 70}, nil) {
 		for seed := range uint64(3) {
@@ -90,7 +91,7 @@
 		wg.Go(func() {
 			for n := 0; time.Since(began) < time.Minute; n++ {
 				time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
-				res.sendLeaving(w, region, began, rng, counselRequest(rng, fmt.Sprintf("%s-%d", region, n)), &wg)
+				res.sendCanceling(w, region, began, rng, counselRequest(rng, fmt.Sprintf("%s-%d", region, n)), &wg)
 			}
 		})
 	}
--- a/dispatch/breaker_test.go
+++ b/dispatch/breaker_test.go
@@ -15,26 +15,26 @@
 	"arbutusreel/stream"
 )
 
-// returningRegion fails what is sent to it until it is back, and then answers after a second.
-type returningRegion struct {
-	mu       sync.Mutex
-	back     bool
-	answered int
-	underWay int
-	// storm is the highest number of requests under way before the first was answered.
-	storm int
+// recoveringRegion fails all requests until it has recovered, and then answers each after a second.
+type recoveringRegion struct {
+	mu        sync.Mutex
+	recovered bool
+	answered  int
+	inFlight  int
+	// maxInFlight is the highest number of concurrent requests before the first one was answered.
+	maxInFlight int
 }
 
-func (f *returningRegion) ForwardModel(ctx context.Context, _ string, r Request, sink stream.Sink) (stream.End, error) {
+func (f *recoveringRegion) ForwardModel(ctx context.Context, _ string, r Request, sink stream.Sink) (stream.End, error) {
 	f.begin()
 	defer f.end()
 	f.mu.Lock()
-	back := f.back
+	back := f.recovered
 	f.mu.Unlock()
 	if !back {
 		return stream.End{}, context.DeadlineExceeded
 	}
-	if err := pauseFor(ctx, time.Second); err != nil {
+	if err := sleep(ctx, time.Second); err != nil {
 		return stream.End{}, err
 	}
 	f.mu.Lock()
@@ -44,39 +44,39 @@
 	return stream.End{FinishReason: "stop", Pieces: 1}, err
 }
 
-func (f *returningRegion) begin() {
+func (f *recoveringRegion) begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.underWay++
-	if f.answered == 0 && f.back {
-		f.storm = max(f.storm, f.underWay)
+	f.inFlight++
+	if f.answered == 0 && f.recovered {
+		f.maxInFlight = max(f.maxInFlight, f.inFlight)
 	}
 }
 
-func (f *returningRegion) end() {
+func (f *recoveringRegion) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.underWay--
+	f.inFlight--
 }
 
-func (f *returningRegion) ForwardCall(context.Context, string, Request) (Reply, error) {
+func (f *recoveringRegion) ForwardCall(context.Context, string, Request) (Reply, error) {
 	return Reply{}, nil
 }
 
-// TestRegionReturnsWithOneProbe sends requests while a region's breaker is half open: one is under way until one was
-// answered, and all are let through afterwards.
+// TestRegionReturnsWithOneProbe sends requests while a region's breaker is half open: only one may be in flight until
+// one has been answered, and all are let through afterwards.
 func TestRegionReturnsWithOneProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		region := &returningRegion{}
+		region := &recoveringRegion{}
 		view := staticView{inv: mustInventory(contents())}
 		view.summaries = []membership.Summary{{Region: "karachi", Service: "menu-model", Models: []string{"dastarkhwan-menu"}, Endpoints: 8, Slots: 800, At: time.Now()}}
 		d := New(Hop{Instance: "entry", Region: "lahore"}, view, nil, nil, region, expected(rand.NewPCG(1, 1)), time.Now, rand.NewPCG(1, 2), zerolog.Nop())
-		time.Sleep(2 * learningTime)
+		time.Sleep(2 * discoveryTime)
 		for i := range 3 {
 			_, _ = run(d, request(fmt.Sprint("lost", i), 1, "plan", time.Minute))
 		}
 		region.mu.Lock()
-		region.back = true
+		region.recovered = true
 		region.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		var wg sync.WaitGroup
@@ -87,8 +87,8 @@
 			time.Sleep(2 * time.Second)
 		}
 		wg.Wait()
-		if region.storm != 1 || region.answered < 1+3*20 {
-			t.Errorf("%d requests under way before the first answer, %d answered", region.storm, region.answered)
+		if region.maxInFlight != 1 || region.answered < 1+3*20 {
+			t.Errorf("%d requests under way before the first answer, %d answered", region.maxInFlight, region.answered)
 		}
 	})
 }
--- a/dispatch/burst_test.go
+++ b/dispatch/burst_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestMeasureBurst loses a region whose requests then fill the two smaller ones at once, while reports are up to a second
-// old, and gives it back: the first tokens of its requests, by policy.
+// TestMeasureBurst measures the time to the first token by policy when a region fails and its requests fill the two
+// smaller regions at once, with reports up to a second old, and when it returns.
 func TestMeasureBurst(t *testing.T) {
 	for seed := range rows([]uint64{0, 1, 2}, nil) {
 		for _, row := range policies()[1:] {
--- a/dispatch/counts.go
+++ b/dispatch/counts.go
@@ -1,18 +1,19 @@
 package dispatch
 
-// Counts are what a dispatcher has decided since its start.
+// Counts holds the counters of a dispatcher since its start; Waiting is the current number of waiting requests.
 type Counts struct {
 	Requests int64
 	Answered int64
 	Queued   int64
 	Refused  int64
-	// WrongRefusals are refusals for which there would have been room in time.
+	// WrongRefusals counts the refused requests for which there would have been capacity in time.
 	WrongRefusals int64
 	SentAway      int64
-	// Retries are further attempts of requests without a piece, and Resumes those of streams in mid-answer.
+	// Retries counts the further attempts of requests before the first piece of their answer, and Resumes those of
+	// streams whose answer had started.
 	Retries int64
 	Resumes int64
-	// AskedTokens, ReservedTokens and UsedTokens are the tokens that callers asked for, that were reserved for their
+	// AskedTokens, ReservedTokens and UsedTokens count the tokens that callers asked for, that were reserved for
 	// answers, and that answered requests used.
 	AskedTokens    int64
 	ReservedTokens int64
@@ -20,7 +21,7 @@
 	Waiting        int64
 }
 
-// SavedShare returns the part of the asked tokens that was not reserved.
+// SavedShare returns the share of the requested tokens that was not reserved, or 0 if no tokens were requested.
 func (c Counts) SavedShare() float64 {
 	if c.AskedTokens == 0 {
 		return 0
@@ -28,21 +29,21 @@
 	return 1 - float64(c.ReservedTokens)/float64(c.AskedTokens)
 }
 
-// Counts returns what was decided until now.
+// Counts returns the current counters.
 func (d *Dispatcher) Counts() Counts {
 	s := d.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.counts
-	for _, l := range s.lanes.all {
-		_, wrong := l.audit.Refusals()
+	for _, q := range s.queues.all {
+		_, wrong := q.audit.Refusals()
 		c.WrongRefusals += int64(wrong)
-		c.Waiting += int64(l.queue.Len())
+		c.Waiting += int64(q.queue.Len())
 	}
 	return c
 }
 
-// Metrics returns the counts by the names that they have in the metrics.
+// Metrics returns the counters by their metric names.
 func (d *Dispatcher) Metrics() map[string]any {
 	c := d.Counts()
 	return map[string]any{
--- /dev/null
+++ b/dispatch/crossregion.go
@@ -0,0 +1,73 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"arbutusreel/routing"
+)
+
+// tryForward forwards the request to another region if its own region lacks capacity: the region has no endpoint for
+// the request, cannot meet its deadline, or has kept requests waiting for minShortageTime and the other region is
+// expected to be better. A small share of the requests may be forwarded to a better region before that. It returns
+// nil if the request is not forwarded.
+func (s *scheduler) tryForward(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) *placement {
+	if local && j.class.Deferrable {
+		return nil
+	}
+	reason, ownTerms := s.forwardReason(now, j, q, d, local)
+	if reason == "" {
+		return nil
+	}
+	routes := slices.DeleteFunc(j.routes(s.self.Region), func(r routing.Route) bool {
+		return !s.regionBreakers.Allows(now, r.Region)
+	})
+	target, ok := s.regions.Choose(now, &j.query, j.wireBytes(), routes, ownTerms)
+	if !ok {
+		return nil
+	}
+	s.counts.SentAway++
+	if reason == forwardBetter {
+		s.optionalForwards--
+	}
+	s.explainForward(j, target, ownTerms, reason)
+	return &placement{
+		region:        target.Region,
+		forwardTicket: s.regions.Start(now, target, &j.query, j.wireBytes()),
+		probe:         s.regionBreakers.Begin(now, target.Region),
+		terms:         target.Terms,
+		promptTokens:  j.request.PromptTokens,
+	}
+}
+
+// Reasons to forward a request to another region.
+const (
+	forwardNoEndpoint    = "noEndpoint"
+	forwardCannotBeMet   = "cannotBeMet"
+	forwardCapacityShort = "capacityShort"
+	forwardBetter        = "better"
+)
+
+// forwardReason returns why the request may be forwarded, or an empty string, and the terms that another region must
+// improve on, which are nil if any region will do.
+func (s *scheduler) forwardReason(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) (string, *routing.Terms) {
+	if !local {
+		return forwardNoEndpoint, nil
+	}
+	terms := d.Terms
+	if !d.Room {
+		e := s.estimate(now, j, q, d)
+		if !now.Add(e.Total()).Before(j.request.Deadline) {
+			return forwardCannotBeMet, nil
+		}
+		terms.Wait = e.Wait.Seconds()
+		terms.Score = j.query.Objective.Score(terms)
+		if q.capacityShort(now) {
+			return forwardCapacityShort, &terms
+		}
+	}
+	if d.Informed && s.optionalForwards >= 1 {
+		return forwardBetter, &terms
+	}
+	return "", nil
+}
--- a/dispatch/away_test.go
+++ b/dispatch/crossregion_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestWaitingLeavesDeadRegion kills the only engine of a region while requests wait for it: they go to another region as
-// soon as the breaker has opened, and do not wait for the engine to come back.
+// TestWaitingLeavesDeadRegion kills the only engine of a region while requests wait for it: they must go to another
+// region as soon as the breaker has opened, instead of waiting for the engine to return.
 func TestWaitingLeavesDeadRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := fleet(1, 8, 0)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -14,9 +14,9 @@
 	"arbutusreel/stream"
 )
 
-// View is what an instance knows at the moment.
+// View is an instance's current view of the inventory, of its region's endpoints and of the other regions.
 type View interface {
-	// Inventory returns the inventory in force and its revision, or nil and zero before the first.
+	// Inventory returns the inventory in force and its revision, or nil and zero before the first one is received.
 	Inventory() (*inventory.Inventory, int64)
 	// Endpoints returns the endpoints of the instance's region.
 	Endpoints() []membership.Endpoint
@@ -24,23 +24,23 @@
 	Summaries() []membership.Summary
 }
 
-// Models sends one attempt of a request to a model engine and its pieces to the sink.
+// Models runs one attempt of a request on a model engine and passes the pieces of the answer to the sink.
 type Models interface {
 	Generate(ctx context.Context, e membership.Endpoint, r Request, attempt Attempt, sink stream.Sink) (stream.End, error)
 }
 
-// Plain sends a call to an endpoint of a plain service, once.
+// Plain sends a call to an endpoint of a plain service, without retries.
 type Plain interface {
 	Call(ctx context.Context, e membership.Endpoint, r Request) (Reply, error)
 }
 
-// Forwarder sends a request to an entry of another region.
+// Forwarder forwards a request to an entry instance of another region.
 type Forwarder interface {
 	ForwardModel(ctx context.Context, region string, r Request, sink stream.Sink) (stream.End, error)
 	ForwardCall(ctx context.Context, region string, r Request) (Reply, error)
 }
 
-// Chooser chooses among the endpoints of the region; *routing.Chooser is one for each policy.
+// Chooser chooses among the endpoints of the region; *routing.Chooser implements it for each policy.
 type Chooser interface {
 	Observe(now time.Time, endpoints []membership.Endpoint)
 	SetTripped(name string, tripped bool)
@@ -65,30 +65,30 @@
 	view      View
 	models    Models
 	plain     Plain
-	forward   Forwarder
+	forwarder Forwarder
 	scheduler *scheduler
 	limiter   Limiter
 	now       func() time.Time
 	log       zerolog.Logger
 }
 
-// New returns a dispatcher of the instance self, which draws its random numbers from the source.
+// New returns a dispatcher for the instance self; source supplies its random numbers.
 func New(self Hop, view View, models Models, plain Plain, forward Forwarder, chooser Chooser, now func() time.Time, source rand.Source, log zerolog.Logger) *Dispatcher {
 	return &Dispatcher{
 		self:      self,
 		view:      view,
 		models:    models,
 		plain:     plain,
-		forward:   forward,
+		forwarder: forward,
 		scheduler: newScheduler(self, view, chooser, now, source, log),
 		now:       now,
 		log:       log,
 	}
 }
 
-// Refresh reads what is known of endpoints and regions, and starts waiting requests for which there is room now;
-// instances is the number of instances in the region. It is called at least at the period of the endpoints'
-// announcements, so that no cache event is missed.
+// Refresh reads the known endpoints and regions again and starts waiting requests for which there is capacity now;
+// instances is the number of instances in the region. It must be called at least once per announcement period of the
+// endpoints, so that no cache event is missed.
 func (d *Dispatcher) Refresh(instances int) {
 	d.scheduler.mu.Lock()
 	defer d.scheduler.mu.Unlock()
@@ -96,58 +96,61 @@
 	d.scheduler.refresh(d.now())
 }
 
-// Generate answers a model request into the sink, in as many attempts as its class's budget and deadline allow. A
-// refusal is a *problem.Problem; any other failure is that of the last attempt.
+// Generate answers a model request into the sink, in as many attempts as the retry budget of its class and its
+// deadline allow. A refusal is a *problem.Problem; any other error is that of the last attempt.
 func (d *Dispatcher) Generate(ctx context.Context, r Request, sink stream.Sink) (stream.End, error) {
-	j, err := d.begin(r)
+	j, err := d.newJob(r)
 	if err != nil {
 		return stream.End{}, err
 	}
-	if err := d.spend(j); err != nil {
+	if err := d.chargeLimit(j); err != nil {
 		return stream.End{}, err
 	}
-	defer d.settle(j)
+	defer d.settleLimit(j)
 	rec := newRecorder(sink, r.Resume)
-	rec.began = d.scheduler.opened
-	j.progressed(rec.next)
-	if j.begun() {
-		rec.begin()
+	rec.onStart = d.scheduler.openStream
+	j.recordProgress(rec.next)
+	if j.answerStarted() {
+		rec.markStarted()
 	}
 	defer func() {
-		if rec.begun {
-			d.scheduler.closed()
+		if rec.started {
+			d.scheduler.closeStream()
 		}
 	}()
 	for {
 		p, err := d.scheduler.place(ctx, j)
 		if err != nil {
-			return stream.End{}, j.outcome(err)
+			return stream.End{}, j.finalError(err)
 		}
 		end, err := d.generate(ctx, j, p, rec)
-		failure := classify(ctx, err, rec.failed)
+		failure := classify(ctx, err, rec.sinkFailed)
 		d.scheduler.finish(j, p, err, failure)
 		if err == nil {
 			return end, nil
 		}
-		if !d.again(ctx, j, p, err, failure) {
-			return stream.End{}, j.outcome(err)
+		if !d.awaitRetry(ctx, j, p, err, failure) {
+			return stream.End{}, j.finalError(err)
 		}
 	}
 }
 
-// generate makes one attempt, which is cut off if it makes no progress.
+// generate makes one attempt and cancels it if it makes no progress.
 func (d *Dispatcher) generate(ctx context.Context, j *job, p *placement, rec *recorder) (stream.End, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first, later := j.patience(d.now(), p)
-	rec.watch(newWatch(p.target(), first, later, cancel), func(used int) { d.scheduler.used(p, used) })
-	defer rec.unwatch()
+	first, later := j.pieceTimeouts(d.now(), p)
+	rec.beginAttempt(
+		newWatchdog(p.target(), first, later, cancel),
+		func(pieces int) { d.scheduler.updateReservation(p, pieces) },
+	)
+	defer rec.endAttempt()
 	var end stream.End
 	var err error
 	if p.region != "" {
 		r := j.request.WithHop(d.self)
 		r.Resume = rec.attempt(0)
-		end, err = d.forward.ForwardModel(ctx, p.region, r, rec)
+		end, err = d.forwarder.ForwardModel(ctx, p.region, r, rec)
 	} else {
 		attempt := rec.attempt(j.attempts.Made)
 		attempt.Reserve = j.query.ReserveTokens - j.request.PromptTokens
@@ -157,21 +160,21 @@
 	if err != nil && errors.As(context.Cause(ctx), &stalled) {
 		err = stalled
 	}
-	j.progressed(rec.next)
+	j.recordProgress(rec.next)
 	return end, err
 }
 
-// Call answers a call of a plain service. One that may not be repeated is sent to one endpoint at most, unless an
+// Call answers a call of a plain service. A call that may not be repeated is sent to at most one endpoint, unless an
 // attempt is certain not to have run.
 func (d *Dispatcher) Call(ctx context.Context, r Request) (Reply, error) {
-	j, err := d.begin(r)
+	j, err := d.newJob(r)
 	if err != nil {
 		return Reply{}, err
 	}
 	for {
 		p, err := d.scheduler.place(ctx, j)
 		if err != nil {
-			return Reply{}, j.outcome(err)
+			return Reply{}, j.finalError(err)
 		}
 		reply, err := d.call(ctx, j, p)
 		failure := classify(ctx, err, false)
@@ -179,15 +182,15 @@
 		if err == nil {
 			return reply, nil
 		}
-		if !d.again(ctx, j, p, err, failure) {
-			return Reply{}, j.outcome(err)
+		if !d.awaitRetry(ctx, j, p, err, failure) {
+			return Reply{}, j.finalError(err)
 		}
 	}
 }
 
 func (d *Dispatcher) call(ctx context.Context, j *job, p *placement) (Reply, error) {
 	if p.region != "" {
-		return d.forward.ForwardCall(ctx, p.region, j.request.WithHop(d.self))
+		return d.forwarder.ForwardCall(ctx, p.region, j.request.WithHop(d.self))
 	}
 	return d.plain.Call(ctx, p.endpoint, j.request)
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,5 +1,5 @@
-// Package dispatch takes a checked request to an endpoint and its answer back.
+// Package dispatch carries a validated request to an endpoint and returns its answer.
 //
-// It joins the decisions: residency, routing, retry and the limits. A request
-// crosses regions at most once and never visits an instance twice.
+// It applies residency, routing, retries and team limits. A request crosses
+// regions at most once and never visits an instance twice.
 package dispatch
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -10,36 +10,37 @@
 
 // explain logs a decision for the own region with the terms of the chosen endpoint and of the runner-up.
 func (s *scheduler) explain(j *job, d routing.Decision, action string) {
-	event := s.request(j).
+	event := s.requestEvent(j).
 		Str("action", action).
 		Int("open", d.Open).
 		Int("scored", d.Scored).
 		Bool("room", d.Room).
 		Str("endpoint", d.Candidate.Name()).
-		Dict("terms", terms(d.Terms))
+		Dict("terms", termsDict(d.Terms))
 	if d.RunnerUp != nil {
-		event = event.Str("runnerUp", d.RunnerUp.Name()).Dict("runnerUpTerms", terms(d.RunnerUpTerms))
+		event = event.Str("runnerUp", d.RunnerUp.Name()).Dict("runnerUpTerms", termsDict(d.RunnerUpTerms))
 	}
 	event.Msg("routed")
 }
 
-// explainAway logs that a request leaves the region; least is what the own region would take, if it could.
-func (s *scheduler) explainAway(j *job, d routing.AwayDecision, least *routing.Terms, reason string) {
-	event := s.request(j).
+// explainForward logs that a request is forwarded to another region; ownTerms are the terms of the own region, or nil
+// if it cannot serve the request.
+func (s *scheduler) explainForward(j *job, d routing.AwayDecision, ownTerms *routing.Terms, reason string) {
+	event := s.requestEvent(j).
 		Str("action", "sentAway").
 		Str("reason", reason).
 		Int("scored", d.Scored).
 		Str("region", d.Region).
-		Dict("terms", terms(d.Terms))
-	if least != nil {
-		event = event.Dict("ownTerms", terms(*least))
+		Dict("terms", termsDict(d.Terms))
+	if ownTerms != nil {
+		event = event.Dict("ownTerms", termsDict(*ownTerms))
 	}
 	event.Msg("routed")
 }
 
 // explainRefusal logs a refusal with the estimate that led to it.
 func (s *scheduler) explainRefusal(j *job, code problem.Code, v admission.Verdict) {
-	s.request(j).
+	s.requestEvent(j).
 		Str("action", "refused").
 		Str("reason", string(code)).
 		Dur("wait", v.Estimate.Wait).
@@ -49,8 +50,8 @@
 		Msg("routed")
 }
 
-// request begins a log line with what identifies the request.
-func (s *scheduler) request(j *job) *zerolog.Event {
+// requestEvent returns a log event with the fields that identify the request.
+func (s *scheduler) requestEvent(j *job) *zerolog.Event {
 	_, revision := s.view.Inventory()
 	return s.log.Info().
 		Str("correlationId", j.request.CorrelationID).
@@ -64,7 +65,7 @@
 		Int("reservedTokens", j.query.ReserveTokens)
 }
 
-func terms(t routing.Terms) *zerolog.Event {
+func termsDict(t routing.Terms) *zerolog.Event {
 	return zerolog.Dict().
 		Float64("wait", t.Wait).
 		Float64("prefill", t.Prefill).
--- a/dispatch/fake_test.go
+++ b/dispatch/fake_test.go
@@ -21,8 +21,8 @@
 	"arbutusreel/stream"
 )
 
-// fakeEngine is a model engine with slots, a cache of bounded tokens, serial prefill and a prefix cache; it is used in
-// virtual time.
+// fakeEngine is a model engine with a number of slots, a bounded token cache, serial prefill and a prefix cache; it
+// runs in virtual time.
 type fakeEngine struct {
 	mu          sync.Mutex
 	endpoint    membership.Endpoint
@@ -30,29 +30,30 @@
 	prefillTime time.Duration
 	cacheBlocks int
 
-	free    chan struct{}
-	prefill chan struct{}
-	running int
-	queued  int
-	used    int
-	// unread is the number of prompt tokens that wait for their prefill.
-	unread int
-	cached []uint64
-	events []membership.CacheEvent
-	// failAt cuts each stream before the piece of that position, if it is above zero; frozen streams send nothing.
-	failAt int
-	frozen bool
+	slots      chan struct{}
+	prefill    chan struct{}
+	running    int
+	queued     int
+	usedTokens int
+	// queuedTokens is the number of prompt tokens that wait for prefill.
+	queuedTokens int
+	cached       []uint64
+	events       []membership.CacheEvent
+	// failAt cuts each stream before the piece at that position, if it is above zero; stalled engines send no pieces.
+	failAt  int
+	stalled bool
 	// dead engines cut their streams and refuse connections.
 	dead atomic.Bool
-	// fails tells which requests fail at their first attempt; ignoresResume tells that each answer begins at zero.
-	fails         func(r Request) bool
+	// failsFirst selects the requests that fail at their first attempt; ignoresResume makes each answer begin at
+	// position zero.
+	failsFirst    func(r Request) bool
 	ignoresResume bool
 	requests      int
 	generated     int
 	wrongResumes  int
 }
 
-// swapTime is what a token takes if the cache is full.
+// swapTime is the additional time per token while the cache is full.
 const swapTime = 100 * time.Millisecond
 
 func newFakeEngine(name, region string, slots, cacheTokens int) *fakeEngine {
@@ -62,12 +63,12 @@
 			Slots: slots, CacheTokens: cacheTokens,
 		},
 		tokenTime: 20 * time.Millisecond, prefillTime: 200 * time.Microsecond, cacheBlocks: 256,
-		free: make(chan struct{}, slots), prefill: make(chan struct{}, 1),
+		slots: make(chan struct{}, slots), prefill: make(chan struct{}, 1),
 	}
 	return g
 }
 
-// report publishes the engine's load at a time.
+// report returns the endpoint with the engine's load at a time.
 func (g *fakeEngine) report(now time.Time) membership.Endpoint {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,10 +77,10 @@
 	g.endpoint.CacheEvents, g.events = g.events, nil
 	g.endpoint.Load = membership.Load{
 		Running: g.running, Queued: g.queued, At: now,
-		QueuedTokens: g.unread, TokensPerSecond: float64(cap(g.free)) / (g.tokenTime * 3 / 2).Seconds(), PrefillTokensPerSecond: 1 / g.prefillTime.Seconds(),
+		QueuedTokens: g.queuedTokens, TokensPerSecond: float64(cap(g.slots)) / (g.tokenTime * 3 / 2).Seconds(), PrefillTokensPerSecond: 1 / g.prefillTime.Seconds(),
 	}
 	if g.endpoint.CacheTokens > 0 {
-		g.endpoint.Load.CacheUse = float64(g.used) / float64(g.endpoint.CacheTokens)
+		g.endpoint.Load.CacheUse = float64(g.usedTokens) / float64(g.endpoint.CacheTokens)
 	}
 	return g.endpoint
 }
@@ -90,7 +91,7 @@
 	*field += n
 }
 
-// uncached returns the prompt tokens that are not cached and caches the prompt.
+// uncached returns the number of prompt tokens that are not cached, and caches the prompt.
 func (g *fakeEngine) uncached(r Request) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,7 +114,7 @@
 	return max(r.PromptTokens-hits*routing.BlockTokens, 1)
 }
 
-func pauseFor(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -133,7 +134,7 @@
 	}
 }
 
-// answerTokens is the number of tokens that the fake engine answers to a request.
+// answerTokens returns the number of tokens in the fake engine's answer to a request.
 func answerTokens(r Request) int {
 	n, _ := strconv.Atoi(string(r.Body))
 	return n
@@ -149,39 +150,39 @@
 	if g.ignoresResume {
 		a.Next = 0
 	}
-	if g.fails != nil && a.Number == 0 && g.fails(r) {
+	if g.failsFirst != nil && a.Number == 0 && g.failsFirst(r) {
 		return stream.End{}, &stream.IncompleteError{RequestID: r.CorrelationID, Cause: context.Canceled}
 	}
 	g.count(&g.queued, 1)
-	err := takeSlot(ctx, g.free)
+	err := takeSlot(ctx, g.slots)
 	g.count(&g.queued, -1)
 	if err != nil {
 		return stream.End{}, err
 	}
 	g.count(&g.running, 1)
 	held := r.PromptTokens + a.Next
-	g.count(&g.used, held)
+	g.count(&g.usedTokens, held)
 	defer func() {
-		g.count(&g.used, -held)
+		g.count(&g.usedTokens, -held)
 		g.count(&g.running, -1)
-		<-g.free
+		<-g.slots
 	}()
-	if err := g.read(ctx, r, a); err != nil {
+	if err := g.prefillPrompt(ctx, r, a); err != nil {
 		return stream.End{}, err
 	}
 	for i := a.Next; i < answerTokens(r); i++ {
-		if err := pauseFor(ctx, g.stepTime()); err != nil {
+		if err := sleep(ctx, g.stepTime()); err != nil {
 			return stream.End{}, err
 		}
 		if g.dead.Load() || g.failAt > 0 && i >= g.failAt {
 			return stream.End{}, &stream.IncompleteError{RequestID: r.CorrelationID, Pieces: i, Cause: context.Canceled}
 		}
-		if g.frozen {
+		if g.stalled {
 			<-ctx.Done()
 			return stream.End{}, ctx.Err()
 		}
 		held++
-		g.count(&g.used, 1)
+		g.count(&g.usedTokens, 1)
 		g.count(&g.generated, 1)
 		if err := sink.Piece(stream.Piece{RequestID: r.CorrelationID, Attempt: a.Number, Position: i, Text: pieceText(r, i)}); err != nil {
 			return stream.End{}, err
@@ -190,47 +191,47 @@
 	return stream.End{FinishReason: "stop", Pieces: answerTokens(r)}, nil
 }
 
-// read does the prefill.
-func (g *fakeEngine) read(ctx context.Context, r Request, a Attempt) error {
+// prefillPrompt waits for the prefill of the prompt.
+func (g *fakeEngine) prefillPrompt(ctx context.Context, r Request, a Attempt) error {
 	tokens := g.uncached(r) + a.Next
-	g.count(&g.unread, tokens)
-	defer g.count(&g.unread, -tokens)
+	g.count(&g.queuedTokens, tokens)
+	defer g.count(&g.queuedTokens, -tokens)
 	if err := takeSlot(ctx, g.prefill); err != nil {
 		return err
 	}
 	defer func() { <-g.prefill }()
-	return pauseFor(ctx, time.Duration(tokens)*g.prefillTime)
+	return sleep(ctx, time.Duration(tokens)*g.prefillTime)
 }
 
-// stepTime is the time to the next token.
+// stepTime returns the time to the next token.
 func (g *fakeEngine) stepTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.step()
 }
 
-// step grows with the batch, and more so if the cache is full.
+// step returns the time per token, which grows with the batch, and more so while the cache is full.
 func (g *fakeEngine) step() time.Duration {
-	d := g.tokenTime + g.tokenTime*time.Duration(g.running)/time.Duration(2*cap(g.free))
-	if g.endpoint.CacheTokens > 0 && g.used >= g.endpoint.CacheTokens {
+	d := g.tokenTime + g.tokenTime*time.Duration(g.running)/time.Duration(2*cap(g.slots))
+	if g.endpoint.CacheTokens > 0 && g.usedTokens >= g.endpoint.CacheTokens {
 		d += swapTime
 	}
 	return d
 }
 
-// fakeRegion is a region's engines and instances; the instances see each report late.
+// fakeRegion is a region's engines and instances; the instances see load reports with a delay.
 type fakeRegion struct {
 	name        string
 	engines     []*fakeEngine
 	dispatchers []*Dispatcher
-	// lost tells that the announcements of the region's engines have ended.
+	// lost reports whether the announcements of the region's engines have ended.
 	lost     bool
 	reported []membership.Endpoint
-	// forwards counts the requests that came from other regions.
+	// forwards counts the requests that were forwarded from other regions.
 	forwards int
 }
 
-// world is all regions.
+// world simulates all regions.
 type world struct {
 	mu        sync.Mutex
 	inventory *inventory.Inventory
@@ -243,7 +244,7 @@
 	return w.regions[i]
 }
 
-// newWorld returns regions with engines and instances, whose choosers are made by the policy.
+// newWorld returns regions with engines and instances; chooser makes the chooser of each instance.
 func newWorld(inv *inventory.Inventory, seed uint64, engines map[string][]*fakeEngine, instances int, chooser func(rand.Source) Chooser) *world {
 	w := &world{inventory: inv, rng: rand.New(rand.NewPCG(seed, 7))}
 	for _, region := range inv.Contents().Regions {
@@ -260,7 +261,7 @@
 	return w
 }
 
-// publish makes every engine's load of now known.
+// publish makes the current load of each engine known to the instances.
 func (w *world) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -276,7 +277,7 @@
 
 // publishEvery publishes at a period until ctx ends.
 func (w *world) publishEvery(ctx context.Context, period time.Duration) {
-	for pauseFor(ctx, period) == nil {
+	for sleep(ctx, period) == nil {
 		w.publish()
 		for _, r := range w.regions {
 			for _, d := range r.dispatchers {
@@ -339,7 +340,7 @@
 	f.w.region(region).forwards++
 	f.w.mu.Unlock()
 	link, _ := f.w.inventory.Link(r.Via[len(r.Via)-1].Region, region)
-	if err := pauseFor(ctx, link.RoundTrip); err != nil {
+	if err := sleep(ctx, link.RoundTrip); err != nil {
 		return stream.End{}, err
 	}
 	return f.w.entry(region).Generate(ctx, r, sink)
@@ -369,7 +370,7 @@
 	return nil
 }
 
-// wholeText is the answer that the request's caller must receive.
+// wholeText returns the complete answer to a request.
 func wholeText(r Request) string { return textBefore(r, answerTokens(r)) }
 
 func textBefore(r Request, n int) string {
--- a/dispatch/forward_test.go
+++ b/dispatch/forward_test.go
@@ -23,12 +23,12 @@
 // visits records where a request has been.
 type visits struct {
 	crossings int
-	// second counts the forwards of a request that had crossed before.
-	second int
-	ran    []string
+	// recrossings counts the forwards of requests that had crossed regions before.
+	recrossings int
+	ran         []string
 }
 
-// staleForwarder sends a request to the dispatcher of any instance of the region.
+// staleForwarder forwards a request to any instance of the region.
 type staleForwarder struct {
 	from  Hop
 	all   map[string][]*Dispatcher
@@ -39,7 +39,7 @@
 func (f *staleForwarder) ForwardModel(ctx context.Context, region string, r Request, sink stream.Sink) (stream.End, error) {
 	f.visit.crossings++
 	if crossings(r.Via, region) > 1 {
-		f.visit.second++
+		f.visit.recrossings++
 	}
 	list := f.all[region]
 	return list[f.rng.IntN(len(list))].Generate(ctx, r, sink)
@@ -59,13 +59,13 @@
 	return stream.End{}, problem.New(problem.NoCapacity, http.StatusServiceUnavailable, "full")
 }
 
-// instanceView is what a random instance believes.
+// instanceView is what a randomly drawn instance knows of endpoints and regions.
 type instanceView struct {
-	engine   bool
-	believes []bool
+	hasEngine    bool
+	knownRegions []bool
 }
 
-// regionView is a random region's residency rule and instances.
+// regionView is a randomly drawn region's residency rule and instances.
 type regionView struct {
 	allowed   []string
 	instances []instanceView
@@ -78,8 +78,8 @@
 		v := regionView{allowed: append(others, region)}
 		for range rapid.IntRange(1, 3).Draw(rt, "instances") {
 			v.instances = append(v.instances, instanceView{
-				engine:   rapid.Bool().Draw(rt, "engine"),
-				believes: rapid.SliceOfN(rapid.Bool(), 3, 3).Draw(rt, "believes"),
+				hasEngine:    rapid.Bool().Draw(rt, "engine"),
+				knownRegions: rapid.SliceOfN(rapid.Bool(), 3, 3).Draw(rt, "knownRegions"),
 			})
 		}
 		views[region] = v
@@ -87,8 +87,9 @@
 	return views
 }
 
-// TestStaleViewsForwardOnce sends a request into random topologies whose instances have stale and contradictory views and
-// inventories: it ends, each forward crosses to another region once, and it runs in allowed regions only.
+// TestStaleViewsForwardOnce sends a request into random topologies whose instances have stale and contradictory views
+// and inventories: the request ends, is forwarded across regions at most once on each path, and runs in allowed
+// regions only.
 func TestStaleViewsForwardOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := newTopology(rt)
@@ -104,11 +105,11 @@
 				for i, known := range draw[region].instances {
 					self := Hop{Instance: fmt.Sprintf("entry-%s-%d", region, i), Region: region}
 					view := staticView{inv: inventories[region]}
-					if known.engine {
+					if known.hasEngine {
 						view.endpoints = []membership.Endpoint{newFakeEngine("engine-"+region, region, 8, 0).endpoint}
 					}
 					for n, other := range regionNames {
-						if known.believes[n] {
+						if known.knownRegions[n] {
 							view.summaries = append(view.summaries, membership.Summary{Region: other, Service: "menu-model", Models: []string{"dastarkhwan-menu"}, Endpoints: 1, Slots: 8, At: time.Now()})
 						}
 					}
@@ -122,9 +123,9 @@
 			if _, err := run(all["lahore"][0], r); err == nil {
 				failure = "the request was answered"
 			}
-			// The first instance makes at most four attempts, and none of the others sends the request on.
-			if visit.crossings > 4 || visit.second > 0 {
-				failure = fmt.Sprintf("the request was forwarded %d times, %d times after it had crossed", visit.crossings, visit.second)
+			// The first instance makes at most four attempts, and none of the others forwards the request.
+			if visit.crossings > 4 || visit.recrossings > 0 {
+				failure = fmt.Sprintf("the request was forwarded %d times, %d times after it had crossed", visit.crossings, visit.recrossings)
 			}
 			for _, region := range visit.ran {
 				if !residency.Allows(inventories[region], r.Subject(), region) || !residency.Allows(inventories["lahore"], r.Subject(), region) {
@@ -138,7 +139,8 @@
 	})
 }
 
-// TestReceiverChecks sends requests as a faulty peer could: the receiver refuses each with its own checks.
+// TestReceiverChecks sends requests that a faulty peer could send: the receiver must refuse each one by its own
+// checks.
 func TestReceiverChecks(t *testing.T) {
 	c := contents()
 	c.Labels = []inventory.Label{{Name: "diet", AllowedRegions: []string{"karachi"}}}
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -18,7 +18,7 @@
 	"arbutusreel/routing"
 )
 
-// job is a request with what the dispatcher has decided of it.
+// job is a request with the decisions made about it.
 type job struct {
 	request   Request
 	inventory *inventory.Inventory
@@ -28,28 +28,29 @@
 	attempts  retry.Attempts
 	// excluded are the regions that have failed the request.
 	excluded []string
-	// doubtful tells that an attempt may have run.
-	doubtful bool
-	pieces   int
-	// likely is the number of tokens that must fit into the patience.
-	likely int
-	// spent is what was taken of the team's limit.
-	spent int
+	// mayHaveRun reports whether an earlier attempt may have run.
+	mayHaveRun bool
+	pieces     int
+	// quantileTokens is the patienceQuantile of the expected answer length in tokens; this much must fit into the
+	// patience.
+	quantileTokens int
+	// chargedTokens is the number of tokens charged to the team's limit.
+	chargedTokens int
 }
 
-// placement is where an attempt goes: to an endpoint, or to a region.
+// placement is the target of an attempt: an endpoint or another region.
 type placement struct {
-	endpoint membership.Endpoint
-	ticket   *routing.Ticket
-	region   string
-	away     *routing.AwayTicket
-	// probe tells whether the attempt tries a region whose breaker is half open.
+	endpoint      membership.Endpoint
+	ticket        *routing.Ticket
+	region        string
+	forwardTicket *routing.AwayTicket
+	// probe reports whether the attempt probes a region whose breaker is half open.
 	probe retry.Probe
 	terms routing.Terms
-	// informed tells that the terms are expected times.
-	informed bool
-	// prompt is the number of prompt tokens, which the reservation holds as well.
-	prompt int
+	// predicted reports whether the terms are predicted times.
+	predicted bool
+	// promptTokens is the number of prompt tokens, which the reservation includes.
+	promptTokens int
 }
 
 func (p *placement) target() string {
@@ -59,7 +60,7 @@
 	return p.endpoint.Name
 }
 
-// models returns the models that the attempt's endpoint serves, and nothing for a region.
+// models returns the models that the attempt's endpoint serves, or an empty slice for a region.
 func (p *placement) models() []string {
 	if p.region != "" {
 		return []string{}
@@ -70,8 +71,8 @@
 	return p.endpoint.Models
 }
 
-// begin checks a request and learns what its query needs.
-func (d *Dispatcher) begin(r Request) (*job, error) {
+// newJob checks a request and prepares its query.
+func (d *Dispatcher) newJob(r Request) (*job, error) {
 	inv, _ := d.view.Inventory()
 	if inv == nil {
 		return nil, problem.New(problem.NotReady, http.StatusServiceUnavailable, "instance %q has no inventory yet", d.self.Instance)
@@ -93,11 +94,12 @@
 		Objective:    routing.NewObjective(inv.Rules().Objective),
 		Cost:         relativeCost(inv, region.CostPerThousandTokens),
 	}
-	d.scheduler.begin(j)
+	d.scheduler.register(j)
 	return j, nil
 }
 
-// check refuses a request that has been here, that has crossed regions twice, or whose data may not be here.
+// check refuses a request that has passed this instance before, that has crossed regions more than once, or whose
+// data may not enter this region.
 func (d *Dispatcher) check(inv *inventory.Inventory, r Request) error {
 	if r.Passed(d.self.Instance) {
 		return problem.New(problem.LoopRefused, http.StatusLoopDetected, "the request has passed instance %q before", d.self.Instance)
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// crossings counts the changes of region on the way of a request to a region.
+// crossings returns the number of region changes on a request's path to a region.
 func crossings(via []Hop, region string) int {
 	n := 0
 	for i, h := range via {
@@ -129,7 +131,7 @@
 	return n
 }
 
-// relativeCost returns a price against the lowest price of a region.
+// relativeCost returns a price relative to the lowest price of any region.
 func relativeCost(inv *inventory.Inventory, price float64) float64 {
 	lowest := price
 	for _, r := range inv.Contents().Regions {
@@ -145,12 +147,12 @@
 	return admission.Key{Team: j.request.Team, Class: j.request.Class, Model: j.request.Model}
 }
 
-// bytes estimates what the request takes on a link between regions.
-func (j *job) bytes() int {
+// wireBytes estimates the bytes that the request transfers over a link between regions.
+func (j *job) wireBytes() int {
 	return wireBytesPerRequest + len(j.request.Body) + j.query.ExpectedTokens*wireBytesPerToken
 }
 
-// routes returns the regions that may take the request.
+// routes returns the routes to the regions that may take the request; a request that has crossed regions has none.
 func (j *job) routes(self string) []routing.Route {
 	if j.request.Forwarded(self) {
 		return nil
@@ -177,36 +179,39 @@
 		Region:         region.Name,
 		RoundTrip:      link.RoundTrip,
 		BytesPerSecond: link.BytesPerSecond,
-		Egress:         routing.Egress(j.bytes(), link.CostPerGigabyte, requestCost),
+		Egress:         routing.Egress(j.wireBytes(), link.CostPerGigabyte, requestCost),
 		Cost:           cost,
 	}
 }
 
-// patience returns how long an attempt may send nothing at its beginning, and later. A request may wait in the queue of
-// another region, or of an endpoint whose load the policy does not look at.
-func (j *job) patience(now time.Time, p *placement) (first, later time.Duration) {
+// pieceTimeouts returns the time-outs of an attempt for its first piece and for each later one. The first piece is
+// given more time in another region, where the request may wait in a queue, and under a policy that ignores the
+// reported load, as the queue of the endpoint is not known then.
+func (j *job) pieceTimeouts(now time.Time, p *placement) (first, later time.Duration) {
 	left := max(j.request.Deadline.Sub(now), 0)
 	expected := time.Duration(p.terms.FirstToken() * float64(time.Second))
-	first = max(firstPieceFactor*expected, minFirstPiece)
-	if p.region != "" || !p.informed {
-		first = max(first, time.Duration(float64(left)*unknownShare))
+	first = max(firstPieceFactor*expected, minFirstPieceTimeout)
+	if p.region != "" || !p.predicted {
+		first = max(first, time.Duration(float64(left)*unknownFirstPieceShare))
 	}
-	return min(first, left), maxStall
+	return min(first, left), stallTimeout
 }
 
-// begun reports whether the caller has a part of the answer; such a request is not refused before its deadline.
-func (j *job) begun() bool { return j.pieces > 0 }
+// answerStarted reports whether the caller has received a part of the answer; such a request is not refused before
+// its deadline.
+func (j *job) answerStarted() bool { return j.pieces > 0 }
 
-// latestStart returns when the next attempt must start to be met.
+// latestStart returns when the next attempt must start to meet the deadline.
 func (j *job) latestStart(e admission.Estimate) time.Time {
-	if j.begun() {
+	if j.answerStarted() {
 		return j.request.Deadline
 	}
 	return j.request.Deadline.Add(-e.Prefill - e.Decode)
 }
 
-// progressed notes the pieces that the caller has: a further attempt reads them with its prompt and generates the rest.
-func (j *job) progressed(pieces int) {
+// recordProgress records the number of pieces that the caller has received. A further attempt processes them as part
+// of its prompt and generates only the rest.
+func (j *job) recordProgress(pieces int) {
 	added := pieces - j.pieces
 	if added <= 0 {
 		return
@@ -215,34 +220,35 @@
 	j.attempts.Fruitless = 0
 	j.query.PromptTokens += added
 	j.query.ExpectedTokens = max(j.query.ExpectedTokens-added, 1)
-	j.likely = max(j.likely-added, 1)
+	j.quantileTokens = max(j.quantileTokens-added, 1)
 }
 
-// outcome returns the failure of a request; one that may have run in part is not told as not run.
-func (j *job) outcome(err error) error {
+// finalError returns the error that ends a request; if an earlier attempt may have run, an outcome of not run becomes
+// unknown.
+func (j *job) finalError(err error) error {
 	var p *problem.Problem
-	if j.doubtful && errors.As(err, &p) && p.Outcome == problem.NotRun {
+	if j.mayHaveRun && errors.As(err, &p) && p.Outcome == problem.NotRun {
 		return p.WithOutcome(problem.Unknown)
 	}
 	return err
 }
 
-// again reports whether the request is tried again after a failure, and waits for the delay before it.
-func (d *Dispatcher) again(ctx context.Context, j *job, p *placement, err error, failure retry.Failure) bool {
+// awaitRetry reports whether the request is tried again after a failure, and waits for the retry delay before that.
+func (d *Dispatcher) awaitRetry(ctx context.Context, j *job, p *placement, err error, failure retry.Failure) bool {
 	j.attempts.Made++
 	if failure == retry.Unreached {
 		j.attempts.Unreached++
 	} else {
 		j.attempts.Fruitless++
 	}
-	j.doubtful = j.doubtful || failure == retry.Doubtful || failure == retry.Final
+	j.mayHaveRun = j.mayHaveRun || failure == retry.Doubtful || failure == retry.Final
 	if p.region != "" {
 		j.excluded = append(j.excluded, p.region)
 	} else {
 		j.query.Exclude = append(j.query.Exclude, p.endpoint.Name)
 	}
 	for {
-		delay, reason := d.scheduler.decide(j, failure)
+		delay, reason := d.scheduler.decideRetry(j, failure)
 		d.explainFailure(j, p, err, delay, reason)
 		if reason != retry.Retry && reason != retry.Paced {
 			return false
@@ -256,7 +262,7 @@
 	}
 }
 
-// explainFailure logs a failed attempt and what is done after it.
+// explainFailure logs a failed attempt and the decision whether to retry it.
 func (d *Dispatcher) explainFailure(j *job, p *placement, err error, delay time.Duration, reason retry.Reason) {
 	d.log.Info().
 		Str("correlationId", j.request.CorrelationID).
@@ -269,10 +275,10 @@
 		Msg("attemptFailed")
 }
 
-// notRunner is a failure that knows whether the attempt may have run.
+// notRunner is an error that reports whether the attempt is certain not to have run.
 type notRunner interface{ NotRun() bool }
 
-// classify returns what is known of a failed attempt.
+// classify returns the kind of failure of an attempt.
 func classify(ctx context.Context, err error, sinkFailed bool) retry.Failure {
 	if ctx.Err() != nil || sinkFailed {
 		return retry.Final
@@ -291,7 +297,7 @@
 	return retry.Doubtful
 }
 
-// classifyProblem reads the answer of an endpoint or of another region.
+// classifyProblem returns the kind of failure that a problem of an endpoint or another region stands for.
 func classifyProblem(p *problem.Problem) retry.Failure {
 	elsewhere := p.Code == problem.ResidencyRefused || p.Code == problem.LoopRefused || p.Status == http.StatusTooManyRequests
 	switch {
--- a/dispatch/limiter.go
+++ b/dispatch/limiter.go
@@ -7,23 +7,24 @@
 	"arbutusreel/problem"
 )
 
-// Limiter bounds the tokens that a team uses.
+// Limiter limits the tokens that teams use.
 type Limiter interface {
-	// Spend takes tokens of the team's limit; if ok is false, the caller may come back after the time.
+	// Spend charges tokens to the limit of the team; if ok is false, the caller may try again after retryAfter.
 	Spend(team string, tokens int) (retryAfter time.Duration, ok bool)
-	// Settle corrects what a request has spent to what it has used.
+	// Settle corrects the charge for a request from the tokens spent to the tokens used.
 	Settle(team string, spent, used int)
 }
 
-// WithLimiter returns a dispatcher that holds the limits of teams for the requests of its own callers.
+// WithLimiter returns a dispatcher that enforces the limits of teams for the requests of its own callers.
 func (d *Dispatcher) WithLimiter(l Limiter) *Dispatcher {
 	limited := *d
 	limited.limiter = l
 	return &limited
 }
 
-// spend takes what the request is likely to use of its team's limit; a request from another region was counted there.
-func (d *Dispatcher) spend(j *job) error {
+// chargeLimit charges the expected use of the request to its team's limit; a request from another region was charged
+// there.
+func (d *Dispatcher) chargeLimit(j *job) error {
 	if d.limiter == nil || len(j.request.Via) > 0 {
 		return nil
 	}
@@ -32,18 +33,18 @@
 	if !ok {
 		return problem.New(problem.LimitExceeded, http.StatusTooManyRequests, "team %q has used its tokens of the moment", j.request.Team).WithRetryAfter(retryAfter)
 	}
-	j.spent = tokens
+	j.chargedTokens = tokens
 	return nil
 }
 
-// settle gives back what the request has not used.
-func (d *Dispatcher) settle(j *job) {
-	if j.spent == 0 {
+// settleLimit corrects the charge for the request to the tokens that it used.
+func (d *Dispatcher) settleLimit(j *job) {
+	if j.chargedTokens == 0 {
 		return
 	}
 	used := 0
 	if j.attempts.Made > 0 || j.pieces > 0 {
 		used = j.request.PromptTokens + j.pieces
 	}
-	d.limiter.Settle(j.request.Team, j.spent, used)
+	d.limiter.Settle(j.request.Team, j.chargedTokens, used)
 }
--- a/dispatch/loop_test.go
+++ b/dispatch/loop_test.go
@@ -23,7 +23,7 @@
 	t         *rapid.T
 	instances map[string][]*node
 	visits    map[string]int
-	// crossings counts the forwards into each region, and path those on the way to the present instance.
+	// crossings counts the forwards into each region, and path the forwards on the path to the current instance.
 	crossings map[string]int
 	path      int
 	depth     int
@@ -44,14 +44,14 @@
 
 func (n *node) Summaries() []membership.Summary { return n.summaries }
 
-// ForwardModel takes the request to any instance of the region, also to one that it has passed.
+// ForwardModel passes the request to any instance of the region, including one that it has passed through before.
 func (n *node) ForwardModel(ctx context.Context, region string, r dispatch.Request, sink stream.Sink) (stream.End, error) {
 	to := n.topology.arrive(n.self, region)
 	defer n.topology.leave(n.self, region)
 	return to.dispatcher.Generate(ctx, r, sink)
 }
 
-// ForwardCall takes the call to any instance of the region.
+// ForwardCall passes the call to any instance of the region.
 func (n *node) ForwardCall(ctx context.Context, region string, r dispatch.Request) (dispatch.Reply, error) {
 	to := n.topology.arrive(n.self, region)
 	defer n.topology.leave(n.self, region)
@@ -88,9 +88,9 @@
 	}
 }
 
-type nothing struct{}
+type discardSink struct{}
 
-func (nothing) Piece(stream.Piece) error { return nil }
+func (discardSink) Piece(stream.Piece) error { return nil }
 
 func drawTopology(t *rapid.T) *topology {
 	p := &topology{t: t, instances: map[string][]*node{}, visits: map[string]int{}, crossings: map[string]int{}}
@@ -117,7 +117,8 @@
 	return p
 }
 
-// drawInventory returns an inventory whose label may differ from that of other instances, as during a rule change.
+// drawInventory returns an inventory whose label may differ from those of other instances, as during a change of
+// rules.
 func drawInventory(t *rapid.T, regions []string) *inventory.Inventory {
 	c := inventory.Contents{
 		Labels:   []inventory.Label{{Name: "l", AllowedRegions: rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 1, len(regions), rapid.ID[string]).Draw(t, "allowed")}},
@@ -135,8 +136,8 @@
 	return inv
 }
 
-// TestNoLoops checks that a request ends, visits no instance twice, crosses regions
-// once at most on each way and is sent to each region once at most, whatever the views say.
+// TestNoLoops checks that, whatever the views are, a request ends, visits no instance twice, crosses regions at most
+// once on each path, and is sent to each region at most once.
 func TestNoLoops(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawTopology(t)
@@ -149,7 +150,7 @@
 		var err error
 		if rapid.Bool().Draw(t, "model") {
 			r.Service, r.Model = "models", "m"
-			_, err = start.dispatcher.Generate(t.Context(), r, nothing{})
+			_, err = start.dispatcher.Generate(t.Context(), r, discardSink{})
 		} else {
 			r.Service = "desk"
 			_, err = start.dispatcher.Call(t.Context(), r)
--- a/dispatch/measure_test.go
+++ b/dispatch/measure_test.go
@@ -20,10 +20,10 @@
 // tables; docs/measures/routing.md holds them. One seed serves every row of a table.
 const measureSeed = 1
 
-// sweep measures whole tables in place of the rows that decide.
+// sweep measures the whole tables instead of only the rows that the checks rest on.
 var sweep = flag.Bool("sweep", false, "measure whole tables")
 
-// rows returns all rows if whole tables are measured, and else those that decide.
+// rows returns all rows if whole tables are measured, and otherwise those that the checks rest on.
 func rows[T any](all, deciding []T) []T {
 	if *sweep {
 		return all
@@ -31,10 +31,10 @@
 	return deciding
 }
 
-// demand is the requests of one region.
+// demand is the request load of one region.
 type demand struct {
 	region string
-	// perSecond returns the rate of arrivals at a time after the beginning.
+	// perSecond returns the arrival rate at a time after the start.
 	perSecond func(time.Duration) float64
 	make      func(rng *rand.Rand, id string) Request
 }
@@ -43,7 +43,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// sample is one request as its caller saw it.
+// sample is one request as its caller observed it.
 type sample struct {
 	region string
 	at     time.Duration
@@ -53,15 +53,15 @@
 	err    error
 }
 
-// results are the samples of a run with what the dispatchers counted.
+// results are the samples of a run and the counters of its dispatchers.
 type results struct {
 	mu      sync.Mutex
 	samples []sample
 	counts  Counts
 }
 
-// offer sends the demands for a duration and returns when each request has ended.
-func offer(w *world, seed uint64, duration time.Duration, demands []demand) *results {
+// offerLoad sends the demands for a duration and returns when each request has ended.
+func offerLoad(w *world, seed uint64, duration time.Duration, demands []demand) *results {
 	res := &results{}
 	began := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -106,7 +106,8 @@
 	res.counts.UsedTokens += c.UsedTokens
 }
 
-// served returns the share of requests that were answered whole, which is within their patience, and their tokens.
+// served returns the share of the requests that were answered completely, and so within their patience, and their
+// tokens.
 func (res *results) served() (share float64, tokens int) {
 	n := 0
 	for _, s := range res.samples {
@@ -118,7 +119,7 @@
 	return float64(n) / float64(len(res.samples)), tokens
 }
 
-// rate returns the requests a second that were answered in the span.
+// rate returns the number of requests answered per second in the span.
 func (res *results) rate(from, to time.Duration) float64 {
 	n := 0
 	for _, s := range res.samples {
@@ -129,7 +130,8 @@
 	return float64(n) / (to - from).Seconds()
 }
 
-// first returns a quantile of the time to the first token of the region's answered requests that came in the span.
+// first returns a quantile of the time to the first token of the answered requests that arrived in the region in the
+// span.
 func (res *results) first(region string, q float64, from, to time.Duration) time.Duration {
 	var list []time.Duration
 	for _, s := range res.samples {
@@ -162,8 +164,8 @@
 }
 
 // TestMeasureLunchClubCost finds how many engines of 8192 cache tokens serve 99 in 100 requests of one load within
-// patience if a request reserves what it asks for, and if it reserves the learned quantile. The fleet's cost is
-// proportional to their number.
+// their patience if a request reserves what it asks for, and if it reserves the learned quantile. The cost of a fleet
+// is proportional to the number of its engines.
 func TestMeasureLunchClubCost(t *testing.T) {
 	const rate, duration = 4.0, 2 * time.Minute
 	const most = 15
@@ -186,7 +188,7 @@
 				for _, region := range regionNames {
 					demands = append(demands, demand{region: region, perSecond: steady(rate), make: lunchRequest})
 				}
-				res := offer(w, measureSeed, duration, demands)
+				res := offerLoad(w, measureSeed, duration, demands)
 				share, tokens := res.served()
 				if share >= 0.99 {
 					needed[quantile] = n
@@ -205,7 +207,7 @@
 
 const familyPartners = 24
 
-// familyRequest has the prompt of one of the partners before its own part.
+// familyRequest returns a request whose prompt begins with the prefix of one of the partners.
 func familyRequest(rng *rand.Rand, id string) Request {
 	r := request(id, 40+rng.IntN(120), "dish", 15*time.Second)
 	partner := rng.IntN(familyPartners)
@@ -238,7 +240,7 @@
 	}
 }
 
-// TestMeasureTamarindFirstToken compares the policies at the peak of one region.
+// TestMeasureTamarindFirstToken compares the policies at the peak load of one region.
 func TestMeasureTamarindFirstToken(t *testing.T) {
 	p99 := map[string]time.Duration{}
 	for _, row := range policies() {
@@ -249,7 +251,7 @@
 					g.cacheBlocks = 200
 				}
 			}
-			res := offer(w, measureSeed, 5*time.Minute, []demand{
+			res := offerLoad(w, measureSeed, 5*time.Minute, []demand{
 				{"lahore", steady(12), familyRequest},
 				{"karachi", steady(3), familyRequest},
 				{"peshawar", steady(3), familyRequest},
@@ -266,7 +268,8 @@
 	}
 }
 
-// TestMeasureSentAway compares the share sent away with the least that the capacity of the region forces.
+// TestMeasureSentAway compares the share of the requests that is forwarded with the least share that the capacity of
+// the region forces.
 func TestMeasureSentAway(t *testing.T) {
 	load := func(rate float64, alone bool) (res *results) {
 		synctest.Test(t, func(*testing.T) {
@@ -275,7 +278,7 @@
 				c.Services[0].AllowedRegions = []string{"lahore"}
 			}
 			w := newWorld(mustInventory(c), measureSeed, fleet(6, 8, 0), 3, expected)
-			res = offer(w, measureSeed, 5*time.Minute, []demand{{"lahore", steady(rate), familyRequest}})
+			res = offerLoad(w, measureSeed, 5*time.Minute, []demand{{"lahore", steady(rate), familyRequest}})
 		})
 		return res
 	}
@@ -294,7 +297,7 @@
 	}
 }
 
-// setDead kills the region's engines, or starts them again with cold caches.
+// setDead kills the region's engines, or restarts them with cold caches.
 func (r *fakeRegion) setDead(dead bool) {
 	for _, g := range r.engines {
 		g.mu.Lock()
@@ -316,7 +319,7 @@
 	}
 }
 
-// TestMeasureRegionLost kills a region's engines for a minute; their leases end two seconds later.
+// TestMeasureRegionLost kills a region's engines for a minute; their leases expire two seconds later.
 func TestMeasureRegionLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(mustInventory(tamarindContents()), measureSeed, fleet(6, 8, 0), 3, expected)
@@ -330,7 +333,7 @@
 			lahore.setDead(false)
 			w.setLost(lahore, false)
 		}()
-		res := offer(w, measureSeed, 3*time.Minute, []demand{
+		res := offerLoad(w, measureSeed, 3*time.Minute, []demand{
 			{"lahore", steady(7), familyRequest},
 			{"karachi", steady(4), familyRequest},
 			{"peshawar", steady(4), familyRequest},
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -15,14 +15,14 @@
 	placed chan *placement
 }
 
-// place returns where the next attempt goes. It waits if the region has no room but the request can be met; a refusal
-// is a *problem.Problem.
+// place returns the target of the next attempt. It waits if the region has no free capacity but the request can still
+// be met; a refusal is a *problem.Problem.
 func (s *scheduler) place(ctx context.Context, j *job) (*placement, error) {
 	p, w, err := s.tryPlace(j)
 	if err != nil || p != nil {
 		return p, err
 	}
-	t := time.NewTicker(waitPeriod)
+	t := time.NewTicker(recheckPeriod)
 	defer t.Stop()
 	for {
 		select {
@@ -31,75 +31,76 @@
 		case <-ctx.Done():
 			return nil, s.abandon(w, ctx.Err())
 		case <-t.C:
-			if p, err := s.reconsider(w); err != nil || p != nil {
+			if p, err := s.recheck(w); err != nil || p != nil {
 				return p, err
 			}
 		}
 	}
 }
 
-// tryPlace starts the request, sends it away, refuses it or lets it wait.
+// tryPlace starts the request, forwards it, refuses it or adds it to its queue.
 func (s *scheduler) tryPlace(j *job) (*placement, *admission.Waiting[*waiter], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	s.refresh(now)
-	l := s.lane(j)
-	j.query.Behind = s.before(now, l, j)
+	q := s.queueFor(j)
+	j.query.Behind = s.queriesAhead(now, q, j)
 	defer func() { j.query.Behind = nil }()
 	d, local := s.choose(now, j)
-	if p := s.startNow(now, j, l, d, local); p != nil {
+	if p := s.startNow(now, j, q, d, local); p != nil {
 		return p, nil, nil
 	}
-	w, err := s.waitOrRefuse(now, j, l, d, local)
+	w, err := s.waitOrRefuse(now, j, q, d, local)
 	return nil, w, err
 }
 
-// startNow starts the request in the own region or sends it away, or returns nil.
-func (s *scheduler) startNow(now time.Time, j *job, l *lane, d routing.Decision, local bool) *placement {
-	if p := s.sendAway(now, j, l, d, local); p != nil {
+// startNow starts the request in the own region or forwards it to another one; it returns nil if it does neither.
+func (s *scheduler) startNow(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) *placement {
+	if p := s.tryForward(now, j, q, d, local); p != nil {
 		return p
 	}
-	free := local && d.Room && l.queue.Ahead(j.class.Priority) == 0
-	if !free || j.class.Deferrable && !s.spare(now, j) {
+	free := local && d.Room && q.queue.Ahead(j.class.Priority) == 0
+	if !free || j.class.Deferrable && !s.hasHeadroom(now, j) {
 		return nil
 	}
 	s.explain(j, d, "started")
 	return s.start(now, j, d)
 }
 
-// waitOrRefuse lets a request wait that cannot start now, or refuses it. If no other endpoint is known, one that has
-// failed the request may take it again.
-func (s *scheduler) waitOrRefuse(now time.Time, j *job, l *lane, d routing.Decision, local bool) (*admission.Waiting[*waiter], error) {
+// waitOrRefuse enqueues a request that cannot start now, or refuses it. If no other endpoint is known, the endpoints
+// that have failed the request may be tried again.
+func (s *scheduler) waitOrRefuse(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) (*admission.Waiting[*waiter], error) {
 	if !local && len(j.query.Exclude) > 0 {
 		j.query.Exclude = nil
 		d, local = s.choose(now, j)
 	}
-	if !local && s.learning(now, j, l) {
-		return s.enqueue(now, j, l, admission.Verdict{Queue: true}), nil
+	if !local && s.awaitingDiscovery(now, j, q) {
+		return s.enqueue(now, j, q, admission.Verdict{Queue: true}), nil
 	}
 	if !local {
 		return nil, s.refuseNoCapacity(j)
 	}
-	v := admission.Decide(now, j.request.Deadline, s.estimate(now, j, l, d))
-	if !v.Queue && !j.begun() {
-		return nil, s.refuseLate(j, l, v)
+	v := admission.Decide(now, j.request.Deadline, s.estimate(now, j, q, d))
+	if !v.Queue && !j.answerStarted() {
+		return nil, s.refusePatienceExceeded(j, q, v)
 	}
 	s.explain(j, d, "queued")
-	return s.enqueue(now, j, l, v), nil
+	return s.enqueue(now, j, q, v), nil
 }
 
-// learning reports whether the request may wait because the instance may not have heard of its endpoints yet: it has
-// just started, or had one until a moment ago, as when endpoints are restarted in turn. A request from another region
-// does not wait for an instance that has just started, and none waits for more than half of its patience.
-func (s *scheduler) learning(now time.Time, j *job, l *lane) bool {
+// awaitingDiscovery reports whether the request may wait because its endpoints may not be known yet: the instance has
+// just started, or knew an endpoint until a moment ago, as during a rolling restart of the endpoints. A request from
+// another region does not wait for an instance that has just started, and no request waits for more than half of its
+// patience.
+func (s *scheduler) awaitingDiscovery(now time.Time, j *job, q *modelQueue) bool {
 	if j.request.Deadline.Sub(now) < j.class.Patience/2 {
 		return false
 	}
-	if now.Sub(l.used) < learningTime {
+	if now.Sub(q.endpointSeenAt) < discoveryTime {
 		return true
 	}
-	return now.Sub(s.born) < learningTime && !j.request.Forwarded(s.self.Region)
+	return now.Sub(s.startedAt) < discoveryTime && !j.request.Forwarded(s.self.Region)
 }
 
 // choose returns the best endpoint of the own region that may run the request.
@@ -109,38 +110,38 @@
 	}
 	d, ok := s.chooser.Choose(now, &j.query)
 	if ok {
-		s.lane(j).used = now
+		s.queueFor(j).endpointSeenAt = now
 	}
 	return d, ok
 }
 
-// spare reports whether the region has more room than the share that is kept free.
-func (s *scheduler) spare(now time.Time, j *job) bool {
+// hasHeadroom reports whether the region has more free capacity than the headroom that must stay free.
+func (s *scheduler) hasHeadroom(now time.Time, j *job) bool {
 	c := s.chooser.Capacity(now, j.query.Service, j.query.Model)
 	return c.Outstanding < c.Slots*(1-j.inventory.Rules().Headroom)
 }
 
-// estimate returns how long a request that waits is expected to take.
-func (s *scheduler) estimate(now time.Time, j *job, l *lane, d routing.Decision) admission.Estimate {
+// estimate returns the expected wait, prefill and decode times of a request that waits.
+func (s *scheduler) estimate(now time.Time, j *job, q *modelQueue, d routing.Decision) admission.Estimate {
 	c := s.chooser.Capacity(now, j.query.Service, j.query.Model)
 	wait := d.Terms.Wait
-	if rate := l.rate.PerSecond(c.TokensPerSecond); rate > 0 {
-		wait += float64(l.queue.Ahead(j.class.Priority)) / rate
+	if rate := q.rate.PerSecond(c.TokensPerSecond); rate > 0 {
+		wait += float64(q.queue.Ahead(j.class.Priority)) / rate
 	}
 	decode := d.Terms.Decode
 	if j.query.ExpectedTokens > 0 {
-		decode *= float64(j.likely) / float64(j.query.ExpectedTokens)
+		decode *= float64(j.quantileTokens) / float64(j.query.ExpectedTokens)
 	}
 	return admission.Estimate{Wait: seconds(wait), Prefill: seconds(d.Terms.Prefill), Decode: seconds(decode)}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// enqueue lets the request wait.
-func (s *scheduler) enqueue(now time.Time, j *job, l *lane, v admission.Verdict) *admission.Waiting[*waiter] {
-	if l.queue.Len() == 0 {
-		l.rate.Begin(now)
-		l.since = now
+// enqueue adds the request to its queue.
+func (s *scheduler) enqueue(now time.Time, j *job, q *modelQueue, v admission.Verdict) *admission.Waiting[*waiter] {
+	if q.queue.Len() == 0 {
+		q.rate.Begin(now)
+		q.waitingSince = now
 	}
 	weight := j.team.Weight
 	if weight <= 0 {
@@ -156,14 +157,15 @@
 		LatestStart: j.latestStart(v.Estimate),
 		Value:       &waiter{job: j, placed: make(chan *placement, 1)},
 	}
-	s.lanes.push(l, w)
+	s.queues.push(q, w)
 	s.counts.Queued++
 	return w
 }
 
-// reconsider looks at a waiting request again: it is refused once it cannot be met, and sent away if the region has no
-// endpoint for it any more. If it cannot be sent away, it waits for a moment longer and is then refused.
-func (s *scheduler) reconsider(w *admission.Waiting[*waiter]) (*placement, error) {
+// recheck checks a waiting request again: it is refused once it cannot be met, and forwarded if the region has no
+// endpoint for it any more. If it cannot be forwarded, it waits as long as endpoints may still be discovered, and is
+// then refused.
+func (s *scheduler) recheck(w *admission.Waiting[*waiter]) (*placement, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -174,34 +176,35 @@
 	default:
 	}
 	j := w.Value.job
-	l := s.lane(j)
+	q := s.queueFor(j)
 	if now.After(w.LatestStart) {
-		s.lanes.remove(now, l, w, false)
-		return nil, s.refuseLate(j, l, admission.Verdict{RetryAfter: retryAfterNoCapacity})
+		s.queues.remove(now, q, w, false)
+		return nil, s.refusePatienceExceeded(j, q, admission.Verdict{RetryAfter: retryAfterNoCapacity})
 	}
 	if _, local := s.choose(now, j); local {
 		return nil, nil
 	}
-	p := s.sendAway(now, j, l, routing.Decision{}, false)
-	if p == nil && s.learning(now, j, l) {
+	p := s.tryForward(now, j, q, routing.Decision{}, false)
+	if p == nil && s.awaitingDiscovery(now, j, q) {
 		return nil, nil
 	}
-	s.lanes.remove(now, l, w, false)
+	s.queues.remove(now, q, w, false)
 	if p != nil {
 		return p, nil
 	}
 	return nil, s.refuseNoCapacity(j)
 }
 
-// abandon takes a request out whose caller has gone; a placement that it got by now is given back.
+// abandon removes a waiting request whose caller has gone; a placement that it has received in the meantime is
+// released.
 func (s *scheduler) abandon(w *admission.Waiting[*waiter], cause error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if !s.lanes.remove(now, s.lane(w.Value.job), w, false) {
+	if !s.queues.remove(now, s.queueFor(w.Value.job), w, false) {
 		p := <-w.Value.placed
 		s.chooser.Done(now, p.ticket, false)
-		s.pump(now, p.models())
+		s.startWaiting(now, p.models())
 	}
 	return cause
 }
--- a/dispatch/lanes_test.go
+++ b/dispatch/queues_test.go
@@ -17,24 +17,25 @@
 	"arbutusreel/routing"
 )
 
-// bench is a scheduler over endpoints that serve some of the models, with the requests that wait and run.
-type bench struct {
+// schedulerFixture is a scheduler over endpoints that each serve some of the models, with the waiting and running
+// requests.
+type schedulerFixture struct {
 	scheduler *scheduler
 	inventory *inventory.Inventory
 	now       time.Time
 	waiting   []*admission.Waiting[*waiter]
-	running   []started
-	// order are the requests in the order in which they started.
-	order []*job
+	running   []runningRequest
+	// startOrder holds the requests in the order in which they started.
+	startOrder []*job
 }
 
-// started is a request that runs.
-type started struct {
+// runningRequest is a request that has started, with its placement.
+type runningRequest struct {
 	job       *job
 	placement *placement
 }
 
-func newBench(models int, endpoints []membership.Endpoint) *bench {
+func newSchedulerFixture(models int, endpoints []membership.Endpoint) *schedulerFixture {
 	c := inventory.Contents{Regions: []inventory.Region{{Name: "lahore"}}}
 	for i := range models {
 		c.Models = append(c.Models, inventory.Model{Name: fmt.Sprint("m", i)})
@@ -46,7 +47,7 @@
 	for i := range 3 {
 		c.Classes = append(c.Classes, inventory.Class{Name: fmt.Sprint("p", i), Priority: i, Patience: time.Hour})
 	}
-	b := &bench{inventory: mustInventory(c), now: time.Now()}
+	b := &schedulerFixture{inventory: mustInventory(c), now: time.Now()}
 	for i := range endpoints {
 		endpoints[i].Name = fmt.Sprint("e", i)
 		endpoints[i].Region, endpoints[i].Service = "lahore", "menu-model"
@@ -58,7 +59,7 @@
 	return b
 }
 
-func (b *bench) job(team string, weight float64, class, model, tokens int) *job {
+func (b *schedulerFixture) job(team string, weight float64, class, model, tokens int) *job {
 	j := &job{inventory: b.inventory, team: inventory.Team{Name: team, Weight: weight}}
 	j.class, _ = b.inventory.Class(fmt.Sprint("p", class))
 	j.request = Request{Team: team, Class: j.class.Name, Service: "menu-model", Model: fmt.Sprint("m", model), Deadline: b.now.Add(time.Hour)}
@@ -66,8 +67,8 @@
 	return j
 }
 
-// arrive sends a request, and returns it if it started.
-func (b *bench) arrive(j *job) (ran []started) {
+// arrive submits a request and returns the requests that started.
+func (b *schedulerFixture) arrive(j *job) (ran []runningRequest) {
 	p, w, err := b.scheduler.tryPlace(j)
 	if err != nil {
 		panic(err)
@@ -80,15 +81,15 @@
 	return append(ran, b.run(j, p))
 }
 
-func (b *bench) run(j *job, p *placement) started {
-	s := started{job: j, placement: p}
+func (b *schedulerFixture) run(j *job, p *placement) runningRequest {
+	s := runningRequest{job: j, placement: p}
 	b.running = append(b.running, s)
-	b.order = append(b.order, j)
+	b.startOrder = append(b.startOrder, j)
 	return s
 }
 
-// collect returns the waiting requests that have started.
-func (b *bench) collect() (ran []started) {
+// collect returns the waiting requests that have started since the last call.
+func (b *schedulerFixture) collect() (ran []runningRequest) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *admission.Waiting[*waiter]) bool {
 		select {
 		case p := <-w.Value.placed:
@@ -101,17 +102,18 @@
 	return ran
 }
 
-// end ends a running request and returns what started then.
-func (b *bench) end(i int) []started {
+// end ends a running request and returns the requests that started as a result.
+func (b *schedulerFixture) end(i int) []runningRequest {
 	s := b.running[i]
 	b.running = slices.Delete(b.running, i, i+1)
 	b.scheduler.finish(s.job, s.placement, nil, retry.Final)
 	return b.collect()
 }
 
-// passed returns a waiting request that a started one went before although its endpoint could serve it, or nil; the one
-// that has arrived came after those that started at the same moment.
-func (b *bench) passed(s started, arrived *job) *job {
+// overtaken returns a waiting request of a higher priority that the started one overtook although its endpoint could
+// serve it, or nil. The request that has just arrived does not count, as it came after those that started at the same
+// moment.
+func (b *schedulerFixture) overtaken(s runningRequest, arrived *job) *job {
 	for _, w := range b.waiting {
 		if j := w.Value.job; j != arrived && w.Priority < s.job.class.Priority && slices.Contains(s.placement.endpoint.Models, j.query.Model) {
 			return j
@@ -120,9 +122,9 @@
 	return nil
 }
 
-// TestPriorityAcrossLanes checks against all waiting requests that none of a lower priority starts on an endpoint while
-// one of a higher priority that the endpoint could serve waits, and that all have started in the end.
-func TestPriorityAcrossLanes(t *testing.T) {
+// TestPriorityAcrossQueues checks each start against all waiting requests: no request starts on an endpoint while one
+// of a higher priority that the endpoint could serve waits, and all requests start in the end.
+func TestPriorityAcrossQueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := rapid.IntRange(1, 4).Draw(t, "models")
 		endpoints := make([]membership.Endpoint, rapid.IntRange(1, 4).Draw(t, "endpoints"))
@@ -138,10 +140,10 @@
 				endpoints[i].Models = rapid.SliceOfNDistinct(rapid.SampledFrom(all), 1, models, rapid.ID[string]).Draw(t, "serves")
 			}
 		}
-		b := newBench(models, endpoints)
+		b := newSchedulerFixture(models, endpoints)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
 			b.now = b.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "gap")) * time.Millisecond)
-			var ran []started
+			var ran []runningRequest
 			var arrived *job
 			if len(b.running) > 0 && rapid.Bool().Draw(t, "ends") {
 				ran = b.end(rapid.IntRange(0, len(b.running)-1).Draw(t, "which"))
@@ -151,7 +153,7 @@
 				ran = b.arrive(arrived)
 			}
 			for _, s := range ran {
-				if first := b.passed(s, arrived); first != nil {
+				if first := b.overtaken(s, arrived); first != nil {
 					t.Fatalf("a request of class %s started on %s while one of class %s for %s waits", s.job.class.Name, s.placement.endpoint.Name, first.class.Name, first.query.Model)
 				}
 			}
@@ -168,9 +170,10 @@
 	})
 }
 
-// TestFairAcrossLanes checks that two teams which wait for different models of one endpoint get their shares.
-func TestFairAcrossLanes(t *testing.T) {
-	b := newBench(2, []membership.Endpoint{{Slots: 1, Models: []string{"m0", "m1"}}})
+// TestFairnessAcrossQueues checks that two teams that wait for different models of one endpoint get their weighted
+// shares.
+func TestFairnessAcrossQueues(t *testing.T) {
+	b := newSchedulerFixture(2, []membership.Endpoint{{Slots: 1, Models: []string{"m0", "m1"}}})
 	for range 80 {
 		b.arrive(b.job("a", 1, 1, 0, 10))
 		b.arrive(b.job("b", 3, 1, 1, 10))
@@ -180,7 +183,7 @@
 		b.end(0)
 	}
 	teams := map[string]int{}
-	for _, j := range b.order {
+	for _, j := range b.startOrder {
 		teams[j.request.Team]++
 	}
 	if teams["b"] < 58 || teams["b"] > 62 {
@@ -188,8 +191,9 @@
 	}
 }
 
-// BenchmarkStartAcrossLanes ends a request and starts the next one, with requests of 360 teams that wait for 13 models.
-func BenchmarkStartAcrossLanes(b *testing.B) {
+// BenchmarkStartAcrossQueues measures the end of a request and the start of the next one, with requests of 360 teams
+// waiting for up to 13 models.
+func BenchmarkStartAcrossQueues(b *testing.B) {
 	for _, models := range []int{1, 13} {
 		b.Run(fmt.Sprintf("%d models", models), func(b *testing.B) {
 			endpoints := make([]membership.Endpoint, 64)
@@ -197,7 +201,7 @@
 				endpoints[i].Slots = 8
 				endpoints[i].Models = []string{fmt.Sprint("m", i%models), fmt.Sprint("m", (i+1)%models)}
 			}
-			bench := newBench(models, endpoints)
+			bench := newSchedulerFixture(models, endpoints)
 			for i := range 3000 {
 				bench.arrive(bench.job(fmt.Sprint("team", i%360), 1, i%3, i%models, 10))
 			}
--- a/dispatch/recorder.go
+++ b/dispatch/recorder.go
@@ -8,17 +8,18 @@
 	"arbutusreel/stream"
 )
 
-// recorder passes the pieces of all attempts of a request on and keeps what a further attempt needs to go on.
+// recorder passes on the pieces of all attempts of a request and records what a further attempt needs to resume the
+// answer.
 type recorder struct {
-	sink     stream.Sink
-	next     int
-	text     strings.Builder
-	failed   bool
-	watching *watch
-	used     func(pieces int)
-	// began is called at the first piece, and begun tells that this was done.
-	began func()
-	begun bool
+	sink       stream.Sink
+	next       int
+	text       strings.Builder
+	sinkFailed bool
+	watchdog   *watchdog
+	onPieces   func(pieces int)
+	// onStart is called at the first piece; started reports whether it was.
+	onStart func()
+	started bool
 }
 
 var _ stream.Sink = (*recorder)(nil)
@@ -29,12 +30,13 @@
 	return r
 }
 
-// attempt returns the attempt that goes on after the last piece.
+// attempt returns the attempt that resumes the answer after the last piece.
 func (r *recorder) attempt(number int) Attempt {
 	return Attempt{Number: number, Next: r.next, Text: r.text.String()}
 }
 
-// Piece passes the next piece on; one that was passed on before is dropped, and a later one returns *PositionError.
+// Piece passes the next piece on; one that was passed on before is dropped, and one that leaves a gap returns
+// *PositionError.
 func (r *recorder) Piece(p stream.Piece) error {
 	if p.Position < r.next {
 		return nil
@@ -42,54 +44,55 @@
 	if p.Position > r.next {
 		return &PositionError{Want: r.next, Got: p.Position}
 	}
-	r.watching.stop()
+	r.watchdog.stop()
 	if err := r.sink.Piece(p); err != nil {
-		r.failed = true
+		r.sinkFailed = true
 		return err
 	}
-	r.begin()
+	r.markStarted()
 	r.next++
 	r.text.WriteString(p.Text)
-	r.watching.progress()
-	if r.watching.pieces == 1 || r.next%piecesPerUse == 0 {
-		r.used(r.next)
+	r.watchdog.progress()
+	if r.watchdog.pieces == 1 || r.next%reservationUpdatePieces == 0 {
+		r.onPieces(r.next)
 	}
 	return nil
 }
 
-// begin notes that the answer has begun.
-func (r *recorder) begin() {
-	if r.begun || r.began == nil {
+// markStarted calls onStart once, at the start of the answer.
+func (r *recorder) markStarted() {
+	if r.started || r.onStart == nil {
 		return
 	}
-	r.begun = true
-	r.began()
+	r.started = true
+	r.onStart()
 }
 
-// watch begins an attempt.
-func (r *recorder) watch(w *watch, used func(int)) {
-	r.watching = w
-	r.used = used
+// beginAttempt sets the watchdog of an attempt, and the function that receives the number of pieces.
+func (r *recorder) beginAttempt(w *watchdog, onPieces func(int)) {
+	r.watchdog = w
+	r.onPieces = onPieces
 }
 
-func (r *recorder) unwatch() { r.watching.stop() }
+func (r *recorder) endAttempt() { r.watchdog.stop() }
 
-// watch cancels an attempt that makes no progress. The time in which the caller takes a piece does not count.
-type watch struct {
-	timer  *time.Timer
-	later  time.Duration
-	pieces int
+// watchdog cancels an attempt that makes no progress. The time that the caller needs to accept a piece does not
+// count.
+type watchdog struct {
+	timer   *time.Timer
+	timeout time.Duration
+	pieces  int
 }
 
-func newWatch(target string, first, later time.Duration, cancel context.CancelCauseFunc) *watch {
-	w := &watch{later: later}
+func newWatchdog(target string, first, next time.Duration, cancel context.CancelCauseFunc) *watchdog {
+	w := &watchdog{timeout: next}
 	w.timer = time.AfterFunc(first, func() { cancel(&StalledError{Target: target, Timeout: first}) })
 	return w
 }
 
-func (w *watch) stop() { w.timer.Stop() }
+func (w *watchdog) stop() { w.timer.Stop() }
 
-func (w *watch) progress() {
+func (w *watchdog) progress() {
 	w.pieces++
-	w.timer.Reset(w.later)
+	w.timer.Reset(w.timeout)
 }
--- a/dispatch/refuse.go
+++ b/dispatch/refuse.go
@@ -13,10 +13,10 @@
 	return problem.New(problem.NoCapacity, http.StatusServiceUnavailable, "no endpoint of service %q is known for model %q", j.request.Service, j.request.Model).WithRetryAfter(retryAfterNoCapacity)
 }
 
-// refuseLate refuses a request that cannot be met within its patience.
-func (s *scheduler) refuseLate(j *job, l *lane, v admission.Verdict) error {
+// refusePatienceExceeded refuses a request that cannot be met within its patience.
+func (s *scheduler) refusePatienceExceeded(j *job, q *modelQueue, v admission.Verdict) error {
 	s.counts.Refused++
-	l.audit.Refused(l.queue.Ahead(j.class.Priority), max(j.query.ExpectedTokens, 1), j.latestStart(v.Estimate))
+	q.audit.Refused(q.queue.Ahead(j.class.Priority), max(j.query.ExpectedTokens, 1), j.latestStart(v.Estimate))
 	s.explainRefusal(j, problem.PatienceExceeded, v)
 	return problem.New(problem.PatienceExceeded, http.StatusServiceUnavailable, "class %q cannot be served within its patience now", j.request.Class).WithRetryAfter(v.RetryAfter)
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -7,13 +7,13 @@
 	"arbutusreel/residency"
 )
 
-// Hop is an instance that a request has passed.
+// Hop is an instance that a request has passed through.
 type Hop struct {
 	Instance string
 	Region   string
 }
 
-// Request is a checked request; it is not changed after its making.
+// Request is a checked request; it is not modified after its creation.
 type Request struct {
 	CorrelationID string
 	Team          string
@@ -34,28 +34,28 @@
 	Via            []Hop
 	IdempotencyKey string
 	Epoch          string
-	// Prefixes are the hashes of the prompt's prefixes by whole blocks, the shortest first.
+	// Prefixes are the hashes of the prompt's prefixes of whole blocks, the shortest first.
 	Prefixes []uint64
-	// Resume is where the answer begins, if an earlier attempt has sent a part of it.
+	// Resume is where the answer continues if an earlier attempt has sent a part of it.
 	Resume Attempt
-	// Claimed says that the ledger of the caller's home region holds the claim of this call.
+	// Claimed reports whether the ledger of the caller's home region holds the claim of this call.
 	Claimed bool
-	// SendBy is when the first byte may be sent at the latest; zero sets no bound.
+	// SendBy is the latest time at which the first byte may be sent; zero sets no bound.
 	SendBy time.Time
 }
 
-// Subject returns what residency is decided for.
+// Subject returns the subject of the residency decision.
 func (r Request) Subject() residency.Subject {
 	return residency.Subject{Labels: r.Labels, Service: r.Service, Model: r.Model}
 }
 
-// WithHop returns a copy that has passed one more instance.
+// WithHop returns a copy of the request that has passed through one more instance.
 func (r Request) WithHop(h Hop) Request {
 	r.Via = append(slices.Clone(r.Via), h)
 	return r
 }
 
-// Passed reports whether the request has passed the instance.
+// Passed reports whether the request has passed through the instance.
 func (r Request) Passed(instance string) bool {
 	return slices.ContainsFunc(r.Via, func(h Hop) bool { return h.Instance == instance })
 }
@@ -65,19 +65,19 @@
 	return slices.ContainsFunc(r.Via, func(h Hop) bool { return h.Region != region })
 }
 
-// Attempt is one try of a model request; a resumed one begins after the text that earlier attempts have sent.
+// Attempt is one attempt of a model request; a resumed one continues after the text that earlier attempts have sent.
 type Attempt struct {
 	// Number counts the attempts of a request in an instance, from zero.
 	Number int
-	// Next is the position of the first piece that the attempt is to send.
+	// Next is the position of the first piece that the attempt must send.
 	Next int
 	// Text is the text of all pieces before Next.
 	Text string
-	// Reserve is the number of tokens that the answer reserves of the endpoint's cache.
+	// Reserve is the number of tokens that are reserved for the answer in the endpoint's cache.
 	Reserve int
 }
 
-// Reply is the whole answer of a plain service.
+// Reply is the complete answer of a plain service.
 type Reply struct {
 	Status      int
 	ContentType string
--- a/dispatch/resume_test.go
+++ b/dispatch/resume_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestResume cuts streams of random engines at random positions: the caller receives every piece once.
+// TestResume cuts streams of random engines at random positions: the caller must receive every piece exactly once.
 func TestResume(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		failAt := rapid.SliceOfN(rapid.IntRange(0, 30), 3, 3).Draw(rt, "failAt")
@@ -22,7 +22,7 @@
 		synctest.Test(t, func(*testing.T) {
 			engines := fleet(3, 8, 0)
 			for i, g := range engines["lahore"] {
-				g.failAt, g.frozen, g.ignoresResume = failAt[i], i == frozen, i == ignoring
+				g.failAt, g.stalled, g.ignoresResume = failAt[i], i == frozen, i == ignoring
 			}
 			w := newWorld(mustInventory(contents()), 1, engines, 1, expected)
 			r := request("r", tokens, "plan", time.Minute)
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestResumeAfterUnreached breaks a stream in a region that has lost most of its engines: those that refuse connections do
-// not count as tries when the next engine breaks it again.
+// TestResumeAfterUnreached breaks a stream in a region that has lost most of its engines: the engines that refuse
+// connections must not count as attempts when the next engine breaks the stream again.
 func TestResumeAfterUnreached(t *testing.T) {
 	for seed := range uint64(400) {
 		synctest.Test(t, func(t *testing.T) {
@@ -71,9 +71,9 @@
 	}
 }
 
-// killUnderStreams opens streams at two engines of one region, kills the first in mid-answer, and returns how many
-// answers were whole, with what the dispatcher counted.
-func killUnderStreams(t *testing.T, slots, streams int, class string, patience time.Duration, learned int) (whole int, counts Counts) {
+// killEngineDuringStreams opens streams at two engines of one region, kills the first engine while its answers are in
+// progress, and returns the number of complete answers and the dispatcher's counters.
+func killEngineDuringStreams(t *testing.T, slots, streams int, class string, patience time.Duration, learned int) (whole int, counts Counts) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		engines := map[string][]*fakeEngine{"lahore": fleet(2, slots, 0)["lahore"]}
@@ -110,16 +110,16 @@
 	return whole, counts
 }
 
-// TestEngineKilledUnderStreams kills an engine under 60 streams in mid-answer: all are answered whole by the rules that
-// bound retries to a tenth, also if the other engine has room for a part of them only, and if a new request would be
-// refused at once because its whole answer could not be met.
+// TestEngineKilledUnderStreams kills an engine under 60 streams with answers in progress. All must be answered
+// completely although retries are limited to a tenth, also if the other engine has capacity for only a part of them,
+// and if a new request would be refused at once because its whole answer could not be met.
 func TestEngineKilledUnderStreams(t *testing.T) {
 	tests := []struct {
 		name     string
 		slots    int
 		class    string
 		patience time.Duration
-		// learned is what earlier answers used.
+		// learned is the number of tokens that earlier answers used.
 		learned int
 	}{
 		{"room for all", 64, "plan", time.Minute, 0},
@@ -129,7 +129,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			const streams = 60
-			whole, counts := killUnderStreams(t, tt.slots, streams, tt.class, tt.patience, tt.learned)
+			whole, counts := killEngineDuringStreams(t, tt.slots, streams, tt.class, tt.patience, tt.learned)
 			if whole != streams {
 				t.Errorf("%d of %d streams were answered whole", whole, streams)
 			}
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -6,7 +6,7 @@
 	"arbutusreel/retry"
 )
 
-// budgetKey names the requests that share a budget of retries.
+// budgetKey identifies the requests that share a retry budget.
 type budgetKey struct {
 	region string
 	class  string
@@ -16,21 +16,22 @@
 	return budgetKey{region: s.self.Region, class: j.request.Class}
 }
 
-// opened counts a stream whose answer has begun.
-func (s *scheduler) opened() {
+// openStream counts a stream whose answer has started.
+func (s *scheduler) openStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resumes.Open(s.now())
+	s.resumeBudget.Open(s.now())
 }
 
-// closed counts the end of a stream whose answer had begun.
-func (s *scheduler) closed() {
+// closeStream counts the end of a stream whose answer had started.
+func (s *scheduler) closeStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resumes.Close(s.now())
+	s.resumeBudget.Close(s.now())
 }
 
-// recordEndpoint counts an endpoint's success or failure and opens or closes it for work.
+// recordEndpoint records an attempt's result in the breaker of its endpoint, and opens or closes the endpoint for
+// requests accordingly.
 func (s *scheduler) recordEndpoint(now time.Time, name string, err error, failure retry.Failure) {
 	before := s.breakers.State(now, name)
 	after := s.record(now, s.breakers, name, err, failure)
@@ -42,10 +43,10 @@
 		s.chooser.SetTripped(name, true)
 		s.chooser.SetTripped(name, false)
 	}
-	s.log.Info().Str("endpoint", name).Str("state", after.String()).Msg("breakerChanged")
+	s.log.Info().Str("endpoint", name).Str("state", after.String()).Msg("breaker state changed")
 }
 
-// record counts a success or failure; a failure that is the request's own counts as neither.
+// record counts a success or failure in a breaker; a failure that is due to the request itself counts as neither.
 func (s *scheduler) record(now time.Time, b *retry.Breakers[string], name string, err error, failure retry.Failure) retry.State {
 	switch {
 	case err == nil:
@@ -58,23 +59,23 @@
 	return b.Failed(now, name)
 }
 
-// decide returns whether a failed request is tried again, and when.
-func (s *scheduler) decide(j *job, failure retry.Failure) (time.Duration, retry.Reason) {
+// decideRetry returns whether a failed request is tried again, and after which delay.
+func (s *scheduler) decideRetry(j *job, failure retry.Failure) (time.Duration, retry.Reason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if j.begun() {
+	if j.answerStarted() {
 		return s.decideResume(j, failure)
 	}
-	delay, reason := retry.Decide(s.now(), j.attempts, failure, s.budget, s.budgetKey(j), s.rng)
+	delay, reason := retry.Decide(s.now(), j.attempts, failure, s.retryBudget, s.budgetKey(j), s.rng)
 	if reason == retry.Retry {
 		s.counts.Retries++
 	}
 	return delay, reason
 }
 
-// decideResume returns whether a stream in mid-answer is resumed, and when.
+// decideResume returns whether an interrupted stream is resumed, and after which delay.
 func (s *scheduler) decideResume(j *job, failure retry.Failure) (time.Duration, retry.Reason) {
-	delay, reason := retry.DecideResume(s.now(), j.attempts, failure, s.resumes, s.rng)
+	delay, reason := retry.DecideResume(s.now(), j.attempts, failure, s.resumeBudget, s.rng)
 	if reason == retry.Retry {
 		s.counts.Resumes++
 	}
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -16,14 +16,15 @@
 	"arbutusreel/membership"
 )
 
-// TestAttemptsKeepBudget fails most first attempts: retries are a share of first tries and the reserve.
+// TestAttemptsKeepBudget fails most first attempts: retries must stay within their share of first attempts and the
+// reserve.
 func TestAttemptsKeepBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := contents()
 		c.Services[0].AllowedRegions = []string{"lahore"}
 		engines := fleet(8, 8, 0)
 		for _, g := range engines["lahore"] {
-			g.fails = func(r Request) bool {
+			g.failsFirst = func(r Request) bool {
 				return len(r.CorrelationID)%2 == 0 || r.CorrelationID[len(r.CorrelationID)-1]%2 == 0
 			}
 		}
@@ -44,7 +45,8 @@
 	})
 }
 
-// TestRefusedConnections sends requests while most endpoints refuse connections but are still known: all are answered.
+// TestRefusedConnections sends requests while most endpoints refuse connections but are still known: all requests
+// must be answered.
 func TestRefusedConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := fleet(10, 8, 0)
@@ -64,13 +66,13 @@
 	})
 }
 
-type certainlyNotSent struct{}
+type notSentError struct{}
 
-func (certainlyNotSent) Error() string { return "not sent" }
+func (notSentError) Error() string { return "not sent" }
 
-func (certainlyNotSent) NotRun() bool { return true }
+func (notSentError) NotRun() bool { return true }
 
-// scriptedPlain answers calls with the failures of a script.
+// scriptedPlain answers calls with the scripted errors, in order.
 type scriptedPlain struct {
 	script []error
 	calls  int
@@ -84,9 +86,10 @@
 	return Reply{Status: http.StatusOK}, nil
 }
 
-// TestCallRepeatsOnlyWhatDidNotRun checks the attempts of a call that may not be repeated.
+// TestCallRepeatsOnlyWhatDidNotRun checks that a call that may not be repeated is only tried again if the failed
+// attempt did not run.
 func TestCallRepeatsOnlyWhatDidNotRun(t *testing.T) {
-	notSent, doubt := error(certainlyNotSent{}), context.DeadlineExceeded
+	notSent, doubt := error(notSentError{}), context.DeadlineExceeded
 	tests := []struct {
 		name   string
 		script []error
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -14,7 +14,7 @@
 	"arbutusreel/routing"
 )
 
-// scheduler holds what the decisions of an instance share; it is safe for concurrent use.
+// scheduler holds the state that the decisions of an instance share; it is safe for concurrent use.
 type scheduler struct {
 	mu             sync.Mutex
 	self           Hop
@@ -24,17 +24,17 @@
 	rng            *rand.Rand
 	chooser        Chooser
 	regions        *routing.Regions
-	uses           *admission.Uses
-	lanes          *lanes
+	usage          *admission.Uses
+	queues         *modelQueues
 	breakers       *retry.Breakers[string]
 	regionBreakers *retry.Breakers[string]
-	budget         *retry.Budget[budgetKey]
-	resumes        *retry.Resumes
+	retryBudget    *retry.Budget[budgetKey]
+	resumeBudget   *retry.Resumes
 	counts         Counts
-	// preferred is the number of requests that may leave although the region could serve them.
-	preferred float64
-	refreshed time.Time
-	born      time.Time
+	// optionalForwards is the number of requests that may be forwarded although the region could serve them.
+	optionalForwards float64
+	refreshedAt      time.Time
+	startedAt        time.Time
 }
 
 func newScheduler(self Hop, view View, chooser Chooser, now func() time.Time, source rand.Source, log zerolog.Logger) *scheduler {
@@ -47,38 +47,39 @@
 		rng:            rng,
 		chooser:        chooser,
 		regions:        routing.NewRegions(now(), source),
-		uses:           admission.NewUses(),
-		lanes:          newLanes(),
+		usage:          admission.NewUses(),
+		queues:         newModelQueues(),
 		breakers:       retry.NewBreakers[string](source),
 		regionBreakers: retry.NewBreakers[string](source),
-		budget:         retry.NewBudget[budgetKey](),
-		resumes:        retry.NewResumes(now()),
-		born:           now(),
+		retryBudget:    retry.NewBudget[budgetKey](),
+		resumeBudget:   retry.NewResumes(now()),
+		startedAt:      now(),
 	}
 }
 
-// begin estimates what a new request will use.
-func (s *scheduler) begin(j *job) {
+// register counts a new request and estimates the tokens that it will use.
+func (s *scheduler) register(j *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	asked := j.request.MaxTokens
-	j.query.ExpectedTokens = s.uses.Mean(j.useKey(), asked)
-	j.likely = s.uses.Likely(j.useKey(), patienceQuantile, asked)
-	j.query.ReserveTokens = j.request.PromptTokens + s.uses.Quantile(j.useKey(), j.inventory.Rules().ReservationQuantile, asked)
+	j.query.ExpectedTokens = s.usage.Mean(j.useKey(), asked)
+	j.quantileTokens = s.usage.Likely(j.useKey(), patienceQuantile, asked)
+	j.query.ReserveTokens = j.request.PromptTokens + s.usage.Quantile(j.useKey(), j.inventory.Rules().ReservationQuantile, asked)
 	s.counts.Requests++
-	s.preferred = min(s.preferred+preferredShare, maxPreferred)
+	s.optionalForwards = min(s.optionalForwards+optionalForwardShare, maxOptionalForwards)
 	j.query.PrefillPerSecond = s.chooser.Capacity(s.now(), j.query.Service, j.query.Model).PrefillTokensPerSecond
 	s.counts.AskedTokens += int64(asked)
 	s.counts.ReservedTokens += int64(j.query.ReserveTokens - j.request.PromptTokens)
-	s.budget.First(s.budgetKey(j), j.inventory.Rules().RetryBudget)
+	s.retryBudget.First(s.budgetKey(j), j.inventory.Rules().RetryBudget)
 }
 
-// refresh reads the known endpoints and regions again if they are old, and starts what has room then.
+// refresh reads the known endpoints and regions again if they are older than refreshPeriod, and starts the waiting
+// requests for which there is capacity then.
 func (s *scheduler) refresh(now time.Time) {
-	if !s.refreshed.IsZero() && now.Sub(s.refreshed) < refreshPeriod {
+	if !s.refreshedAt.IsZero() && now.Sub(s.refreshedAt) < refreshPeriod {
 		return
 	}
-	s.refreshed = now
+	s.refreshedAt = now
 	endpoints := s.view.Endpoints()
 	s.chooser.Observe(now, endpoints)
 	s.regions.Observe(now, s.view.Summaries())
@@ -93,18 +94,18 @@
 	for _, name := range gone {
 		s.breakers.Forget(name)
 	}
-	s.pump(now, nil)
+	s.startWaiting(now, nil)
 }
 
-// start counts an attempt as sent to the decision's endpoint.
+// start records an attempt as sent to the decision's endpoint.
 func (s *scheduler) start(now time.Time, j *job, d routing.Decision) *placement {
 	ticket := s.chooser.Start(now, d, &j.query)
-	return &placement{endpoint: d.Candidate.Endpoint(), ticket: ticket, terms: d.Terms, informed: d.Informed, prompt: j.request.PromptTokens}
+	return &placement{endpoint: d.Candidate.Endpoint(), ticket: ticket, terms: d.Terms, predicted: d.Informed, promptTokens: j.request.PromptTokens}
 }
 
-// used trues the reservation of an attempt up; the first piece says that the prompt has been read, or that the region
-// answers.
-func (s *scheduler) used(p *placement, pieces int) {
+// updateReservation updates the reservation of an attempt to its actual use; the first piece shows that the prompt
+// has been processed, or that the region answers.
+func (s *scheduler) updateReservation(p *placement, pieces int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.region != "" {
@@ -112,16 +113,16 @@
 		return
 	}
 	s.chooser.FirstToken(s.now(), p.ticket)
-	p.ticket.Use(p.prompt + pieces)
+	p.ticket.Use(p.promptTokens + pieces)
 }
 
-// finish ends an attempt, gives back what it held, and starts what waits for it.
+// finish ends an attempt, releases what it held, and starts requests that wait for it.
 func (s *scheduler) finish(j *job, p *placement, err error, failure retry.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	if p.region != "" {
-		s.regions.Done(now, p.away, err == nil)
+		s.regions.Done(now, p.forwardTicket, err == nil)
 		s.regionBreakers.End(p.region, p.probe)
 		s.record(now, s.regionBreakers, p.region, err, failure)
 	} else {
@@ -132,8 +133,8 @@
 		s.counts.Answered++
 		s.counts.UsedTokens += int64(j.pieces)
 		if j.request.Model != "" {
-			s.uses.Record(j.useKey(), j.pieces)
+			s.usage.Record(j.useKey(), j.pieces)
 		}
 	}
-	s.pump(now, p.models())
+	s.startWaiting(now, p.models())
 }
--- a/dispatch/waiting_test.go
+++ b/dispatch/waiting_test.go
@@ -15,7 +15,7 @@
 	"arbutusreel/routing"
 )
 
-// TestCancelReleases checks that a caller who leaves at any time gives everything back at once.
+// TestCancelReleases checks that a caller that cancels at any time releases everything at once.
 func TestCancelReleases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leave := time.Duration(rapid.IntRange(1, 3000).Draw(rt, "leaveMillis")) * time.Millisecond
@@ -45,7 +45,7 @@
 	})
 }
 
-// TestRefusesAtOnce checks that what cannot be met is refused without a wait and was not run.
+// TestRefusesAtOnce checks that a request that cannot be met is refused without waiting and without running.
 func TestRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := contents()
@@ -72,7 +72,7 @@
 	})
 }
 
-// TestStartWaitsForEndpoints sends a request to an instance that hears of its endpoints half a second later.
+// TestStartWaitsForEndpoints sends a request to an instance that discovers its endpoints half a second later.
 func TestStartWaitsForEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(mustInventory(contents()), 1, fleet(1, 8, 0), 1, expected)
@@ -92,13 +92,13 @@
 	})
 }
 
-// TestRestartInTurnIsWaitedFor checks that a request waits while the only endpoint that was known has gone and the next
-// one is not known yet, and is refused at once when none has been known for longer.
-func TestRestartInTurnIsWaitedFor(t *testing.T) {
+// TestRollingRestartIsWaitedFor checks that a request waits while the only known endpoint has gone and the next one
+// is not known yet, and is refused at once if no endpoint has been known for longer than discoveryTime.
+func TestRollingRestartIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(mustInventory(contents()), 1, fleet(1, 8, 0), 1, expected)
 		d := w.entry("lahore")
-		time.Sleep(2 * learningTime)
+		time.Sleep(2 * discoveryTime)
 		if _, err := run(d, request("first", 5, "plan", time.Minute)); err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 			r.reported = nil
 		}
 		w.mu.Unlock()
-		time.Sleep(2 * learningTime)
+		time.Sleep(2 * discoveryTime)
 		began := time.Now()
 		_, err := run(d, request("late", 5, "plan", time.Minute))
 		if problem.From(err).Code != problem.NoCapacity || time.Since(began) > 0 {
@@ -137,8 +137,9 @@
 	})
 }
 
-// TestWaitForNewsLeavesPatience checks that a request that waits for endpoints is refused while half of its patience is left.
-func TestWaitForNewsLeavesPatience(t *testing.T) {
+// TestDiscoveryWaitLeavesPatience checks that a request that waits for endpoints is refused while half of its
+// patience is left.
+func TestDiscoveryWaitLeavesPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(mustInventory(contents()), 1, fleet(1, 8, 0), 1, expected)
 		w.mu.Lock()
@@ -149,15 +150,15 @@
 		plan, _ := w.inventory.Class("plan")
 		patience := plan.Patience
 		r := request("r", 5, "plan", patience)
-		r.Deadline = time.Now().Add(patience/2 + 2*waitPeriod)
+		r.Deadline = time.Now().Add(patience/2 + 2*recheckPeriod)
 		_, err := run(w.entry("lahore"), r)
-		if left := time.Until(r.Deadline); problem.From(err).Code != problem.NoCapacity || left < patience/2-2*waitPeriod {
+		if left := time.Until(r.Deadline); problem.From(err).Code != problem.NoCapacity || left < patience/2-2*recheckPeriod {
 			t.Errorf("refused as %v with %v of %v left", err, left, patience)
 		}
 	})
 }
 
-// TestLeaving checks that a leaving endpoint receives nothing once this is known.
+// TestLeaving checks that a leaving endpoint receives no request once its leaving is known.
 func TestLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := fleet(2, 8, 0)
