--- /dev/null
+++ b/gateway/attempt.go
@@ -0,0 +1,265 @@
+package gateway
+
+import (
+	"time"
+
+	"arbutusreel/capacity"
+	"arbutusreel/fleet"
+	"arbutusreel/retry"
+	"arbutusreel/wiregen"
+)
+
+// attempt is a request that was sent to an endpoint and has not ended.
+type attempt struct {
+	placer   *placer
+	endpoint fleet.Endpoint
+	service  string
+	load     capacity.Outstanding
+	work     capacity.Work
+	// queuedTokens is the number of prompt tokens to prefill before the first piece, this request's included.
+	queuedTokens int64
+	// uncachedTokens is the part of queuedTokens that belongs to this request.
+	uncachedTokens int64
+	// full reports whether the request had to wait for a slot or for memory, so that its time says nothing about the
+	// speed.
+	full bool
+	// preemptedShare is the share of the endpoint's time that requests of higher priority took when it was sent.
+	preemptedShare float64
+	sent           time.Time
+	// firstAt is the time of the first piece; zero before.
+	firstAt time.Time
+	probe   retry.Probe
+}
+
+// begin records a request as sent.
+func (p *placer) begin(now time.Time, service string, w capacity.Work, d decision) *attempt {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.state(&d.endpoint)
+	s.outstanding = s.outstanding.Plus(d.addedLoad)
+	s.coldWindow.Add(now)
+	s.recent = s.recent.With(now, d.uncachedTokens)
+	p.demands[service] = p.demands[service].With(now, d.rank, w, d.uncachedTokens, p.speed(service))
+	p.speeds[service] = p.speed(service).WithSent(w, d.uncachedTokens)
+	if d.uncachedTokens < w.PromptTokens || len(w.Parts) > 0 {
+		s.recordParts(now, w)
+	}
+	p.changedEndpoints[d.endpoint.ID] = true
+	return &attempt{
+		placer: p, endpoint: d.endpoint, service: service, load: d.addedLoad, work: w, queuedTokens: d.backlog.PromptTokens.Before(d.rank) + d.uncachedTokens,
+		uncachedTokens: d.uncachedTokens, full: d.full, preemptedShare: d.preemptedShare, sent: now, probe: p.endpointBreakers.Begin(now, d.endpoint.ID),
+	}
+}
+
+// recordParts records the shared parts of a prompt as cached, and removes expired ones if there are too many.
+func (s *endpointState) recordParts(now time.Time, w capacity.Work) {
+	if len(s.cachedParts) > maxCachedParts {
+		for id, used := range s.cachedParts {
+			if now.Sub(used) > cachedPartTTL {
+				delete(s.cachedParts, id)
+			}
+		}
+	}
+	for _, part := range w.Shared() {
+		s.cachedParts[part.ID] = now
+	}
+}
+
+// recordFirst records the arrival of the answer's first piece.
+func (a *attempt) recordFirst(now time.Time) {
+	p := a.placer
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !a.firstAt.IsZero() {
+		return
+	}
+	a.firstAt = now
+	s := p.state(&a.endpoint)
+	s.recordAnswer(a.sent)
+	took := now.Sub(a.sent)
+	if !a.full {
+		speed := p.speed(a.service)
+		queued := int64(float64(a.queuedTokens) / (1 - a.preemptedShare))
+		s.health = s.health.WithFirst(speed.Base+speed.Token*time.Duration(queued), took)
+		p.speeds[a.service] = speed.WithFirst(queued, took)
+	}
+	s.outstanding = s.outstanding.WithBegun(a.load)
+	p.changedEndpoints[a.endpoint.ID] = true
+	p.endpointBreakers.Answered(now, a.endpoint.ID, a.probe)
+}
+
+// recordAnswer records an answer to a request that was sent at a time. A connection failure before that no longer
+// counts, as the endpoint was warm enough to answer.
+func (s *endpointState) recordAnswer(sent time.Time) {
+	if sent.After(s.connectFailedAt) {
+		s.connectFailedAt = time.Time{}
+	}
+}
+
+// ending is how a request ended at an endpoint.
+type ending int
+
+const (
+	// succeeded: the answer was complete.
+	succeeded ending = iota
+	// rejected: the endpoint did not run the request.
+	rejected
+	// failed: there was no answer, or it was invalid or broke off.
+	failed
+	// unreached: no connection was established.
+	unreached
+	// abandoned: the caller disconnected, or time ran out through no fault of the endpoint.
+	abandoned
+	// errorAnswer: the endpoint answered with an error of its own, which counts against it only if others fail less
+	// often.
+	errorAnswer
+)
+
+// end records the end of the request; it must be called exactly once.
+func (a *attempt) end(now time.Time, how ending) {
+	p := a.placer
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.state(&a.endpoint)
+	s.outstanding.Requests--
+	s.outstanding.HeldTokens -= a.load.HeldTokens
+	if a.firstAt.IsZero() {
+		s.outstanding = s.outstanding.WithBegun(a.load)
+	}
+	p.changedEndpoints[a.endpoint.ID] = true
+	if how == succeeded || how == failed || how == errorAnswer {
+		s.outcomes = s.outcomes.With(now, how != succeeded)
+	}
+	switch how {
+	case succeeded:
+		speed := p.speed(a.service)
+		p.speeds[a.service] = speed.WithWhole(a.work, a.uncachedTokens, speed.Held(now.Sub(a.sent), a.firstAt.Sub(a.sent), a.uncachedTokens))
+		s.health = s.health.WithOutcome(false)
+		p.endpointBreakers.Succeeded(now, a.endpoint.ID)
+	case failed:
+		s.health = s.health.WithOutcome(true)
+		p.endpointBreakers.Failed(now, a.endpoint.ID)
+	case unreached:
+		s.connectFailedAt = now
+		s.health = s.health.WithOutcome(true)
+		p.endpointBreakers.Unreached(now, a.endpoint.ID)
+		clear(s.cachedParts)
+	case rejected:
+		s.health = s.health.WithOutcome(true)
+	default:
+	}
+	p.endpointBreakers.End(a.endpoint.ID, a.probe)
+}
+
+// recordCold records the remaining cold time that an endpoint announced in an answer.
+func (p *placer) recordCold(now time.Time, e fleet.Endpoint, d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if s := p.state(&e); d > 0 {
+		s.coldUntil = now.Add(d)
+	}
+}
+
+// recordForward records whether a request to another gateway got through, and reports whether this opened the breaker
+// of its region.
+func (p *placer) recordForward(now time.Time, d decision, ok bool) (regionOpened bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if ok {
+		p.gatewayBreakers.Answered(now, d.gateway.Name, d.probe)
+		p.gatewayBreakers.Succeeded(now, d.gateway.Name)
+		p.regionBreakers.Answered(now, d.region, d.regionProbe)
+		p.regionBreakers.Succeeded(now, d.region)
+	} else {
+		p.gatewayBreakers.Unreached(now, d.gateway.Name)
+		regionOpened = p.regionBreakers.Failed(now, d.region) == retry.Open
+	}
+	p.gatewayBreakers.End(d.gateway.Name, d.probe)
+	p.regionBreakers.End(d.region, d.regionProbe)
+	return regionOpened
+}
+
+// recordFirstTry counts a caller's request for a service towards the retry budget.
+func (p *placer) recordFirstTry(now time.Time, v *view, service string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.retryBudget(v, service).First(now)
+}
+
+// takeRetry reports whether the common budget allows one more retry at a service's endpoints, and counts it.
+func (p *placer) takeRetry(now time.Time, v *view, service string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.retryBudget(v, service).Take(now)
+}
+
+// retryBudget returns this gateway's part of the common retry budget of a service. The reserve is divided by the
+// largest number of gateways ever seen, as those that are not visible now may still use their part.
+func (p *placer) retryBudget(v *view, service string) *retry.Allowance {
+	a := p.retryBudgets[service]
+	if a == nil {
+		a = retry.NewAllowance(p.cfg.RetryWindow, p.cfg.RetryRatio*retryBudgetShare)
+		p.retryBudgets[service] = a
+	}
+	p.maxGateways = max(p.maxGateways, len(v.gateways), 1)
+	a.SetReserve(p.cfg.RetryReserve * retryBudgetShare / float64(p.maxGateways))
+	return a
+}
+
+// outstandingChanges returns the loads that changed since the last call, or all that are not zero. A full report does
+// not clear the changes, which are reported again: a report that waited while a stream was opened is soon superseded.
+func (p *placer) outstandingChanges(now time.Time, all bool) []*wiregen.EndpointOutstanding {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var changes []*wiregen.EndpointOutstanding
+	for id, s := range p.states {
+		if !all && !p.changedEndpoints[id] || all && s.outstanding == (capacity.Outstanding{}) {
+			continue
+		}
+		change := &wiregen.EndpointOutstanding{
+			Endpoint: id, Requests: int32(s.outstanding.Requests), Waiting: s.outstanding.Waiting[:],
+			PromptTokens: s.outstanding.PromptTokens[:], HeldTokens: s.outstanding.HeldTokens, RecentTokens: s.recent.Tokens(now),
+		}
+		if o := s.outcomes.Now(now); o.Failed > minReportedFailures {
+			change.RecentEnded, change.RecentFailed = o.Ended, o.Failed
+		}
+		changes = append(changes, change)
+	}
+	if !all {
+		clear(p.changedEndpoints)
+	}
+	return changes
+}
+
+// minReportedFailures is the count of recent failures up to which they are not reported.
+const minReportedFailures = 0.1
+
+// updatePeer stores the load reported by another gateway; whole replaces all that it reported before.
+func (p *placer) updatePeer(now time.Time, m *wiregen.OutstandingReport, whole bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	peer := p.peers[m.GetGateway()]
+	if peer == nil || whole || peer.born != m.GetBorn() {
+		peer = &peerLoad{born: m.GetBorn(), loads: map[string]capacity.Outstanding{}, recent: map[string]capacity.Recent{}, outcomes: map[string]capacity.Outcomes{}}
+		p.peers[m.GetGateway()] = peer
+		clear(p.peerSums)
+	}
+	peer.receivedAt = now
+	for _, o := range m.GetOutstanding() {
+		delete(p.peerSums, o.GetEndpoint())
+		peer.recent[o.GetEndpoint()] = capacity.NewRecent(now, o.GetRecentTokens())
+		peer.outcomes[o.GetEndpoint()] = capacity.Outcomes{Ended: o.GetRecentEnded(), Failed: o.GetRecentFailed(), At: now}
+		load := capacity.Outstanding{Requests: int(o.GetRequests()), HeldTokens: o.GetHeldTokens()}
+		copy(load.Waiting[:], o.GetWaiting())
+		copy(load.PromptTokens[:], o.GetPromptTokens())
+		peer.loads[o.GetEndpoint()] = load
+	}
+}
+
+// removePeer drops the load of another gateway.
+func (p *placer) removePeer(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.peers, name)
+	clear(p.peerSums)
+}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -9,7 +9,7 @@
 	"arbutusreel/fleet"
 )
 
-// BenchmarkStream passes streams of different lengths through a gateway.
+// BenchmarkStream measures streams of different lengths through a gateway.
 func BenchmarkStream(b *testing.B) {
 	for _, events := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(events), func(b *testing.B) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkDecide places a request among the endpoints of a region, with what the other gateways told.
+// BenchmarkDecide measures the placement of a request among the endpoints of a region.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 46, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	// rebirthTime is how long an endpoint that could not be reached counts as cold when it can be again: it may have
-	// started anew under the same id, which its heartbeat tells within that time.
-	rebirthTime = 3 * time.Second
-	// coldShare is the part of a cold endpoint's bound that is used, as two gateways' seconds do not begin together.
-	coldShare = 0.8
-	// settleCold is how long a gateway that has just started sends nothing to cold endpoints: until then the others know of
-	// it, and the last second in which they used its share is over.
-	settleCold = 1500 * time.Millisecond
-	// holderMemory is how long a gateway that is no longer named keeps its share of cold endpoints' rates: it may be at the
-	// other side of a cut.
-	holderMemory = 20 * time.Second
+	// restartDetectionTime is how long an endpoint counts as cold after a failed connection. It may have restarted
+	// under the same ID, which its heartbeat reports within that time.
+	restartDetectionTime = 3 * time.Second
+	// coldRateShare is the share of a cold endpoint's rate limit that is used. It leaves a reserve because the
+	// one-second windows of the gateways are not aligned.
+	coldRateShare = 0.8
+	// coldHoldoffTime is how long a gateway sends nothing to cold endpoints after its first decision. By then the other
+	// gateways have learned of it, and the last second in which they used its share is over.
+	coldHoldoffTime = 1500 * time.Millisecond
+	// coldShareTTL is how long a gateway that is no longer listed keeps its share of the cold endpoints' rates: it may
+	// still be running on the other side of a network partition.
+	coldShareTTL = 20 * time.Second
 )
 
-// isCold reports whether an endpoint is cold, or may be without having told so yet.
+// isCold reports whether an endpoint is cold, or may have restarted without having reported it yet.
 func (p *placer) isCold(e *fleet.Endpoint, s *endpointState, now time.Time) bool {
-	return e.Cold(now) || now.Before(s.coldUntil) || !s.failedAt.IsZero() && now.Sub(s.failedAt) < rebirthTime
+	return e.Cold(now) || now.Before(s.coldUntil) || !s.connectFailedAt.IsZero() && now.Sub(s.connectFailedAt) < restartDetectionTime
 }
 
 // coldLimit returns the number of requests that this gateway may send to a cold endpoint in one second.
-func (p *placer) coldLimit(now time.Time, s *routes.Service, e *fleet.Endpoint, rank, n int) int {
+func (p *placer) coldLimit(now time.Time, s *routes.Service, e *fleet.Endpoint, rank, holders int) int {
 	if s.ColdRate <= 0 {
 		return 1 << 30
 	}
-	if now.Sub(p.began) < settleCold {
+	if now.Sub(p.firstDecisionAt) < coldHoldoffTime {
 		return 0
 	}
-	whole := int(coldShare * (s.ColdRate*p.cfg.ColdBurst + p.cfg.ColdReserve))
-	// Each endpoint ranks the gateways from another start, so that the larger shares do not all fall to one.
-	return capacity.Share(whole, n, (rank+int(e.Born%int64(n)))%n)
+	total := int(coldRateShare * (s.ColdRate*p.cfg.ColdBurst + p.cfg.ColdReserve))
+	// The ranking is rotated by endpoint, so that the larger shares do not all fall to the same gateway.
+	return capacity.Share(total, holders, (rank+int(e.Born%int64(holders)))%holders)
 }
 
-// holderRank returns the place of this gateway among those of its region that may send to cold endpoints, and their number.
-func (p *placer) holderRank(now time.Time, v *view) (rank, n int) {
-	if p.began.IsZero() {
-		p.began = now
+// coldShareRank returns the rank of this gateway among those of its region that hold a share of the cold endpoints'
+// rates, and their number.
+func (p *placer) coldShareRank(now time.Time, v *view) (rank, n int) {
+	if p.firstDecisionAt.IsZero() {
+		p.firstDecisionAt = now
 	}
-	if p.seen != v {
-		p.seen = v
+	if p.holdersView != v {
+		p.holdersView = v
 		for _, g := range v.gateways {
 			if g.Region == p.cfg.Region {
-				p.holders[g.Name] = now
+				p.shareHolders[g.Name] = now
 			}
 		}
 	}
 	n = 1
-	for name, seen := range p.holders {
+	for name, seen := range p.shareHolders {
 		switch {
 		case name == p.cfg.Name:
-		case now.Sub(seen) > holderMemory:
-			delete(p.holders, name)
+		case now.Sub(seen) > coldShareTTL:
+			delete(p.shareHolders, name)
 		default:
 			n++
 			if name < p.cfg.Name {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -11,7 +11,7 @@
 	"arbutusreel/routes"
 )
 
-// Config is what a gateway needs to know at its start.
+// Config configures a gateway.
 type Config struct {
 	Name           string
 	Region         string
@@ -19,74 +19,77 @@
 	CallerAddress  string
 	LoadAddress    string
 	ForwardAddress string
-	// Controls are the peer addresses of control daemons to contact first.
+	// Controls are the peer addresses of the control daemons to connect to first.
 	Controls []string
-	// Regions holds the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string
 	// Dialect reads and writes the headers of callers and endpoints.
 	Dialect Dialect
-	// Decode returns the table of a document; a document that cannot be read is an error.
+	// Decode returns the routing table of a document, or an error if it is invalid.
 	Decode func(configuration.Document) (*routes.Table, error)
-	// RetryRatio, RetryReserve and RetryWindow bound the repeats of all gateways together.
+	// RetryRatio, RetryReserve and RetryWindow bound the retries of all gateways together: in each window, the ratio
+	// times the first attempts plus the reserve.
 	RetryRatio   float64
 	RetryReserve float64
 	RetryWindow  time.Duration
-	// ColdBurst multiplies a cold endpoint's rate to what it bears in one second, and ColdReserve adds to it.
+	// ColdBurst is the factor from a cold endpoint's rate to the number of requests that it accepts in one second, and
+	// ColdReserve is added to the product.
 	ColdBurst   float64
 	ColdReserve float64
 	// Grace is the time between a planned stop and the end of the process.
 	Grace time.Duration
-	// Detour is the round trip between two regions.
+	// Detour is the round-trip time between two regions.
 	Detour  time.Duration
 	Keys    *keys.Source
 	Metrics *metrics.Set
 }
 
-// Call is what a caller's headers say of its request.
+// Call holds what a caller's headers say about its request.
 type Call struct {
 	ID string
-	// Patience is how long the caller waits; zero if it was not told.
+	// Patience is how long the caller waits for the answer; zero if not given.
 	Patience time.Duration
 	Work     capacity.Work
-	// LastEvent is the last event that the caller has of a stream that it resumes; negative if it begins anew.
+	// LastEvent is the ID of the last event that the caller received of a stream that it resumes; negative for a new
+	// stream.
 	LastEvent int64
 }
 
-// NoEvent is the last event of a caller that has none.
+// NoEvent is the value of LastEvent without any event.
 const NoEvent = -1
 
-// Order is what the gateway asks of an endpoint besides the caller's request.
+// Order holds the headers that the gateway sets for an endpoint in addition to those of the caller.
 type Order struct {
-	// Instance is the id that the endpoint must have.
+	// Instance is the ID that the endpoint must have.
 	Instance string
-	// FetchFrom is the address of an engine that keeps shared parts of the prompt; empty if none are to be fetched.
+	// FetchFrom is the address of an engine from which the cached prefix of the prompt is fetched; empty for none.
 	FetchFrom string
-	// Left is the time until the answer is of no use.
+	// Left is the time until the caller's deadline.
 	Left time.Duration
-	// Urgency ranks the request at a model engine, zero first; negative sets none.
+	// Urgency is the scheduling priority at a model engine, where lower goes first; negative sets none.
 	Urgency   int
 	LastEvent int64
 }
 
-// Verdict is what an endpoint's answer says of the request.
+// Verdict is the meaning of an endpoint's answer for the request.
 type Verdict struct {
-	// Rejected says that the endpoint did not run the request, and never will.
+	// Rejected reports that the endpoint did not run the request, and never will.
 	Rejected bool
-	// Signed says that the answer is an endpoint's own.
+	// Signed reports that the answer was made by an endpoint.
 	Signed bool
-	// ColdFor is how long the endpoint stays cold; zero if it was not told.
+	// ColdFor is how long the endpoint stays cold; zero if not given.
 	ColdFor time.Duration
 }
 
 // Dialect reads and writes the headers of callers and endpoints.
 type Dialect interface {
-	// Call reads a caller's headers; headers that cannot be read are an error.
+	// Call reads a caller's headers; it returns an error if they are invalid.
 	Call(h http.Header) (Call, error)
-	// Prepare removes what callers may not say from a copy of their headers, and sets an order.
+	// Prepare removes the headers that callers may not set from a copy of their headers, and applies an order.
 	Prepare(h http.Header, o Order)
-	// Forward sets the time left in headers that go to another gateway.
+	// Forward sets the time left in headers that are sent to another gateway.
 	Forward(h http.Header, left time.Duration)
-	// Owns reports whether an answer belongs to the request with the id; fresh says that its connection is new.
+	// Owns reports whether an answer belongs to the request with the ID; fresh means that its connection is new.
 	Owns(h http.Header, status int, id string, fresh bool) bool
 	// Verdict reads an endpoint's answer.
 	Verdict(h http.Header, status int) Verdict
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// SilentControlError says that a control daemon has not been heard of for too long.
+// SilentControlError reports that a control daemon has sent no update for too long.
 type SilentControlError struct {
 	Address string
 	Silence time.Duration
 }
 
-// Error names the daemon and the silence.
+// Error names the daemon and the time since its last update.
 func (e *SilentControlError) Error() string {
 	return fmt.Sprintf("control daemon %s has been silent for %v", e.Address, e.Silence)
 }
 
-// StaleControlError says that a control daemon has lost touch with the leader.
+// StaleControlError reports that a control daemon has lost contact with the leader.
 type StaleControlError struct {
 	Address string
 	Behind  time.Duration
 }
 
-// Error names the daemon and for how long it has been behind.
+// Error names the daemon and the time without a leader.
 func (e *StaleControlError) Error() string {
 	return fmt.Sprintf("control daemon %s has had no leader for %v", e.Address, e.Behind)
 }
 
-// BrokenStreamError says that a stream ended before its last event.
+// BrokenStreamError reports that a stream ended before its last event.
 type BrokenStreamError struct {
 	LastEvent int64
 	Cause     error
 }
 
-// Error tells the last whole event and the cause.
+// Error names the last complete event and the cause.
 func (e *BrokenStreamError) Error() string {
 	return fmt.Sprintf("the stream broke after event %d: %v", e.LastEvent, e.Cause)
 }
@@ -41,41 +41,44 @@
 // Unwrap returns the cause.
 func (e *BrokenStreamError) Unwrap() error { return e.Cause }
 
-// CallerError says that an answer could not be written to the caller.
+// CallerError reports that an answer could not be written to the caller.
 type CallerError struct {
 	Cause error
 }
 
-// Error tells the cause.
-func (e *CallerError) Error() string { return fmt.Sprintf("the caller is gone: %v", e.Cause) }
+// Error names the cause.
+func (e *CallerError) Error() string { return fmt.Sprintf("writing to the caller failed: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *CallerError) Unwrap() error { return e.Cause }
 
-// SilentStreamError says that an endpoint brought nothing for too long.
+// SilentStreamError reports that an endpoint has sent nothing within the timeout.
 type SilentStreamError struct {
 	Limit time.Duration
 }
 
-// Error tells the limit.
-func (e *SilentStreamError) Error() string { return fmt.Sprintf("nothing came for %v", e.Limit) }
+// Error names the timeout.
+func (e *SilentStreamError) Error() string {
+	return fmt.Sprintf("the endpoint sent nothing for %v", e.Limit)
+}
 
-// EventOrderError says that an event of a resumed stream does not follow the one before it.
+// EventOrderError reports that an event of a resumed stream does not follow the one before it.
 type EventOrderError struct {
 	Want, Got int64
 }
 
-// Error tells both numbers.
+// Error names both event numbers.
 func (e *EventOrderError) Error() string {
-	return fmt.Sprintf("event %d came where %d was due", e.Got, e.Want)
+	return fmt.Sprintf("event %d arrived instead of event %d", e.Got, e.Want)
 }
 
-// UnsignedAnswerError says that a success does not bear an endpoint's signature, or bears a foreign encoding.
+// UnsignedAnswerError reports an answer that must not be passed on: a success without an endpoint's signature or with a
+// content encoding, or an answer that cannot continue a stream in progress.
 type UnsignedAnswerError struct {
 	Status int
 }
 
-// Error tells the status.
+// Error names the status.
 func (e *UnsignedAnswerError) Error() string {
 	return fmt.Sprintf("an answer with status %d is not signed by an endpoint", e.Status)
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -11,58 +11,58 @@
 	"arbutusreel/problem"
 )
 
-// forward passes the request on to a gateway of another region.
-func (j *job) forward(at place) next {
+// forward sends the request to a gateway of another region.
+func (j *job) forward(d decision) nextStep {
 	g := j.g
 	now := time.Now()
-	j.tried[at.gateway.Name] = true
-	j.charge = max(j.maxRuns()-j.runs, 1)
+	j.tried[d.gateway.Name] = true
+	j.chargedRuns = max(j.maxRuns()-j.runs, 1)
 	h := copyHeader(j.r.Header)
 	g.cfg.Dialect.Forward(h, j.deadline.Sub(now)-forwardMargin)
 	if j.streaming() {
 		g.cfg.Dialect.Prepare(h, Order{Left: j.deadline.Sub(now) - forwardMargin, Urgency: -1, LastEvent: j.lastEvent()})
 	}
-	h.Set(attemptsHeader, strconv.Itoa(j.charge))
+	h.Set(attemptsHeader, strconv.Itoa(j.chargedRuns))
 	h.Set(drawHeader, strconv.FormatFloat(j.draw, 'g', -1, 64))
 	h.Set(ageHeader, strconv.FormatInt((j.age+now.Sub(j.received)+g.cfg.Detour/2).Milliseconds(), 10))
 	ctx, cancel := context.WithCancelCause(j.ctx)
 	defer cancel(nil)
-	patience := j.firstPatience(at, cancel)
-	answer, err := g.peers.Send(ctx, at.gateway.ForwardAddress, &exchange.Request{
+	timer := j.startFirstTimer(d, cancel)
+	answer, err := g.peers.Send(ctx, d.gateway.ForwardAddress, &exchange.Request{
 		Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body, Repeatable: j.route.Repeatable(),
 		Owns: func(a *http.Response, _ bool) bool {
 			return a.Header.Get(outcomeHeader) != "" || g.cfg.Dialect.Owns(a.Header, a.StatusCode, j.call.ID, false)
 		},
 	})
 	if err != nil {
-		patience.stop()
-		if g.placer.gatewayEnded(time.Now(), at, j.r.Context().Err() != nil) {
-			g.log.Warn().Str("region", at.region).Str("gateway", at.gateway.Name).Err(err).Msg("regionLeft")
+		timer.stop()
+		if g.placer.recordForward(time.Now(), d, j.r.Context().Err() != nil) {
+			g.log.Warn().Str("region", d.region).Str("gateway", d.gateway.Name).Err(err).Msg("region circuit breaker opened")
 		}
-		return j.failed(ctx, err, exchange.Outcome(err))
+		return j.recordFailure(ctx, err, exchange.Outcome(err))
 	}
 	defer answer.Close()
-	g.placer.gatewayEnded(time.Now(), at, true)
-	if runs, err := strconv.Atoi(answer.Header.Get(runsHeader)); err == nil && !isEvents(answer.Header) {
-		j.charge = runs
+	g.placer.recordForward(time.Now(), d, true)
+	if runs, err := strconv.Atoi(answer.Header.Get(runsHeader)); err == nil && !isEventStream(answer.Header) {
+		j.chargedRuns = runs
 	}
 	if outcome := problem.Outcome(answer.Header.Get(outcomeHeader)); outcome != "" {
-		patience.stop()
+		timer.stop()
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxRejectionBytes))
-		return j.refusedThere(at, answer, outcome)
+		return j.recordForwardFailure(d, answer, outcome)
 	}
-	_, step := j.carry(ctx, answer, g.cfg.Dialect.Verdict(answer.Header, answer.Status), nil, patience)
+	_, step := j.relayAnswer(ctx, answer, g.cfg.Dialect.Verdict(answer.Header, answer.Status), nil, timer)
 	return step
 }
 
-// refusedThere notes that the gateway of another region answered with a failure of its own. Its region is not asked
-// again.
-func (j *job) refusedThere(at place, answer *exchange.Answer, o problem.Outcome) next {
-	j.tried[at.region] = true
+// recordForwardFailure records a failure that the gateway of another region answered with itself. Its region is not
+// tried again.
+func (j *job) recordForwardFailure(d decision, answer *exchange.Answer, o problem.Outcome) nextStep {
+	j.tried[d.region] = true
 	if o != problem.NotRun {
 		j.sends++
 	}
-	j.doubt(o)
+	j.recordOutcome(o)
 	j.log(string(o)).Int("status", answer.Status).Msg("attemptFailed")
-	return again
+	return tryNext
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,97 +20,102 @@
 )
 
 const (
-	// readHeaderTimeout bounds a request's header until a table says otherwise.
+	// readHeaderTimeout bounds the reading of a request's header. The limit in the routing table is not applied.
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout is how long idle connections are kept; tables ask for less, and callers reuse within that.
+	// idleTimeout is how long idle connections are kept. It exceeds the limits in routing tables, within which callers
+	// reuse connections.
 	idleTimeout = 30 * time.Second
-	// keptRepeatable and keptOnce bound the idle time of endpoints' connections that are used again.
-	keptRepeatable = 4 * time.Second
-	keptOnce       = 1500 * time.Millisecond
-	trimPeriod     = time.Second
-	// endpointConnectTime and peerConnectTime bound an attempt to connect to an endpoint of the region and to a gateway of
-	// another region. They are a hundred and three round trips; a dropped opening packet is sent again only after a second,
-	// and a request that was not sent can go elsewhere.
-	endpointConnectTime = 250 * time.Millisecond
-	peerConnectTime     = 500 * time.Millisecond
-	// lingerTime is how long a gateway that stops still takes callers that were told of it: the time of a directory's
-	// answer, three times over, and the way of the word that it leaves.
+	// repeatableIdleTimeout and onceIdleTimeout bound the idle time after which a connection to an endpoint is still
+	// reused, for requests that may be repeated and for those that may not.
+	repeatableIdleTimeout = 4 * time.Second
+	onceIdleTimeout       = 1500 * time.Millisecond
+	trimPeriod            = time.Second
+	// endpointConnectTimeout and peerConnectTimeout bound a connection attempt to an endpoint of the region and to a
+	// gateway of another region: a hundred round trips and three round trips, respectively. A lost SYN is retransmitted
+	// only after a second, and a request that has not been sent can still be placed elsewhere.
+	endpointConnectTimeout = 250 * time.Millisecond
+	peerConnectTimeout     = 500 * time.Millisecond
+	// lingerTime is the least time for which a stopping gateway still accepts callers: three times the lifetime of a
+	// directory answer, plus the time until the directory learns that the gateway is stopping.
 	lingerTime = 3500 * time.Millisecond
-	// namedTime is how long it may still be named to callers if its region has no other gateway; what they ask then is
-	// taken within lastStreams.
-	namedTime = 1800 * time.Millisecond
-	// lastStreams is how long it still takes streams, which may outlast the grace.
-	lastStreams = 2800 * time.Millisecond
-	// stopMargin is kept at the end of the grace for closing connections.
+	// advertisedTime is how long a stopping gateway may still be returned to callers if its region has no other
+	// gateway. The streams that these callers ask for are accepted within streamAcceptTime.
+	advertisedTime = 1800 * time.Millisecond
+	// streamAcceptTime is how long a stopping gateway still accepts new streams, which may outlast the grace period.
+	streamAcceptTime = 2800 * time.Millisecond
+	// stopMargin is the end of the grace period that is kept for closing connections.
 	stopMargin = 300 * time.Millisecond
-	// quietTime without a request ends the lingering.
-	quietTime = 500 * time.Millisecond
-	// stoppingRetryAfter is when a caller comes back that a stopping gateway refused; any other gateway can take it.
+	// minIdleTime is the time without a new request after which a stopping gateway that has answered all of them ends,
+	// once lingerTime is over.
+	minIdleTime = 500 * time.Millisecond
+	// stoppingRetryAfter is the retry delay given to a caller that a stopping gateway refuses; any other gateway can
+	// serve it.
 	stoppingRetryAfter = 50 * time.Millisecond
 )
 
-// Gateway is one gateway daemon.
+// Gateway is a gateway daemon.
 type Gateway struct {
 	wiregen.UnimplementedOutstandingServer
 
-	cfg     Config
-	log     zerolog.Logger
-	started time.Time
-	born    int64
-	pool    *exchange.Pool
-	peers   *exchange.Pool
-	placer  *placer
-	times   *times
-	view    atomic.Pointer[view]
-	// work ends when the daemon has stopped.
-	work    context.Context
-	endWork context.CancelFunc
-	wg      sync.WaitGroup
-	done    chan struct{}
-
-	// beliefs and offered belong to the session's goroutine.
-	beliefs *beliefs
-	offered configuration.Document
+	cfg       Config
+	log       zerolog.Logger
+	started   time.Time
+	born      int64
+	pool      *exchange.Pool
+	peers     *exchange.Pool
+	placer    *placer
+	latencies *latencies
+	view      atomic.Pointer[view]
+	// workCtx ends when the daemon has stopped.
+	workCtx    context.Context
+	cancelWork context.CancelFunc
+	wg         sync.WaitGroup
+	done       chan struct{}
+
+	// state and pendingDocument are used by the session's goroutine only.
+	state           *fleetState
+	pendingDocument configuration.Document
 
 	controlsMu sync.Mutex
 	controls   []string
 
-	stopping  atomic.Int64
-	inFlight  atomic.Int64
-	lastTaken atomic.Int64
+	stopping      atomic.Int64
+	inFlight      atomic.Int64
+	lastRequestAt atomic.Int64
 }
 
-// New returns a gateway that runs when Run is called.
+// New returns a gateway that starts serving when Run is called.
 func New(cfg Config, log zerolog.Logger, source rand.Source) *Gateway {
 	now := time.Now()
-	work, endWork := context.WithCancel(context.Background())
+	workCtx, cancelWork := context.WithCancel(context.Background())
 	g := &Gateway{
-		cfg: cfg, log: log, started: now, born: now.UnixMilli(), placer: newPlacer(cfg, source), beliefs: newBeliefs(cfg),
-		pool:  exchange.NewPool(exchange.Idle{Repeatable: keptRepeatable, Once: keptOnce}, endpointConnectTime, time.Now),
-		peers: exchange.NewPool(exchange.Idle{Repeatable: idleTimeout / 2, Once: idleTimeout / 2}, peerConnectTime, time.Now),
-		work:  work, endWork: endWork, done: make(chan struct{}),
+		cfg: cfg, log: log, started: now, born: now.UnixMilli(), placer: newPlacer(cfg, source), state: newFleetState(cfg),
+		pool:    exchange.NewPool(exchange.Idle{Repeatable: repeatableIdleTimeout, Once: onceIdleTimeout}, endpointConnectTimeout, time.Now),
+		peers:   exchange.NewPool(exchange.Idle{Repeatable: idleTimeout / 2, Once: idleTimeout / 2}, peerConnectTimeout, time.Now),
+		workCtx: workCtx, cancelWork: cancelWork, done: make(chan struct{}),
 	}
-	g.times = newTimes(cfg.Metrics, g.pool)
+	g.latencies = newLatencies(cfg.Metrics, g.pool)
 	g.view.Store(&view{})
 	return g
 }
 
-// Done is closed when the daemon has stopped.
+// Done returns a channel that is closed when the daemon has stopped.
 func (g *Gateway) Done() <-chan struct{} { return g.done }
 
-// Ready reports whether callers should come here.
+// Ready reports whether the gateway accepts callers: it has a routing table and is not stopping.
 func (g *Gateway) Ready() bool { return g.stopping.Load() == 0 && g.view.Load().table != nil }
 
-// lingering reports whether a stopping gateway may still be named to callers.
+// lingering reports whether a stopping gateway may still be returned to callers.
 func (g *Gateway) lingering(now time.Time) bool {
-	stopping := g.stoppingFor(now)
-	return stopping > 0 && stopping < namedTime && g.view.Load().table != nil
+	elapsed := g.stoppingFor(now)
+	return elapsed > 0 && elapsed < advertisedTime && g.view.Load().table != nil
 }
 
-// Run serves until ctx ends, and then until what was taken has been answered or the grace is over.
+// Run serves until ctx ends, and then until the accepted requests have been answered or the grace period is over. It
+// returns an error if it cannot listen on one of its addresses.
 func (g *Gateway) Run(ctx context.Context) error {
 	defer close(g.done)
-	defer g.endWork()
+	defer g.cancelWork()
 	callers, err := listen(ctx, g.cfg.CallerAddress)
 	if err != nil {
 		return err
@@ -133,16 +138,16 @@
 		g.wg.Go(func() { g.serveHTTP(servers[i], l) })
 	}
 	g.wg.Go(func() { _ = loadServer.Serve(loads) })
-	g.wg.Go(func() { g.attend(g.work) })
-	g.wg.Go(func() { g.tellLoads(g.work) })
-	g.wg.Go(func() { g.trim(g.work) })
+	g.wg.Go(func() { g.subscribe(g.workCtx) })
+	g.wg.Go(func() { g.reportLoads(g.workCtx) })
+	g.wg.Go(func() { g.trim(g.workCtx) })
 	g.log.Info().Str("callerAddress", g.cfg.CallerAddress).Str("domain", g.cfg.FailureDomain).Strs("controls", g.cfg.Controls).Msg("started")
 	<-ctx.Done()
 	g.stop()
 	for _, s := range servers {
 		_ = s.Close()
 	}
-	g.endWork()
+	g.cancelWork()
 	loadServer.Stop()
 	g.pool.Close()
 	g.peers.Close()
@@ -156,7 +161,7 @@
 	return config.Listen(ctx, "tcp", address)
 }
 
-// maxHeaderBytes bounds a request's header; tables ask for less.
+// maxHeaderBytes bounds the size of a request's header. It exceeds the limits in routing tables.
 const maxHeaderBytes = 64 << 10
 
 func (g *Gateway) server(handler http.HandlerFunc) *http.Server {
@@ -168,7 +173,7 @@
 
 func (g *Gateway) serveHTTP(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		g.log.Error().Err(err).Str("address", l.Addr().String()).Msg("serverFailed")
+		g.log.Error().Err(err).Str("address", l.Addr().String()).Msg("HTTP server failed")
 	}
 }
 
@@ -179,21 +184,21 @@
 	}
 }
 
-// stop tells everybody that the gateway leaves, and returns when what it has taken is answered or the grace is over.
+// stop marks the gateway as stopping, and returns when its requests have been answered or the grace period is over.
 func (g *Gateway) stop() {
 	began := time.Now()
 	g.stopping.Store(began.UnixNano())
 	g.log.Info().Int64("inFlight", g.inFlight.Load()).Dur("grace", g.cfg.Grace).Msg("stopping")
 	for time.Since(began) < g.cfg.Grace-stopMargin {
-		quiet := time.Since(time.Unix(0, g.lastTaken.Load()))
-		if time.Since(began) > lingerTime && g.inFlight.Load() == 0 && quiet > quietTime {
+		idle := time.Since(time.Unix(0, g.lastRequestAt.Load()))
+		if time.Since(began) > lingerTime && g.inFlight.Load() == 0 && idle > minIdleTime {
 			return
 		}
-		clock.Sleep(g.work, changeCheck)
+		clock.Sleep(g.workCtx, pollPeriod)
 	}
 }
 
-// stoppingFor returns how long ago the stop began, or zero if there was none.
+// stoppingFor returns the time since the stop began, or zero if the gateway is not stopping.
 func (g *Gateway) stoppingFor(now time.Time) time.Duration {
 	began := g.stopping.Load()
 	if began == 0 {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -24,7 +24,7 @@
 	"arbutusreel/routes"
 )
 
-// testDialect uses short header names of its own.
+// testDialect implements Dialect with short header names.
 type testDialect struct{}
 
 func (testDialect) Call(h http.Header) (Call, error) {
@@ -60,8 +60,8 @@
 	return Verdict{Rejected: h.Get("Rejected") != "", Signed: h.Get("Signed") != ""}
 }
 
-// endpointScript answers the n-th request on any connection, beginning at 0, by writing bytes; it returns false to close
-// the connection, and the connection is reset if it did so with reset.
+// endpointScript writes the answer to the n-th request of an endpoint on any connection, counted from 0. It returns
+// false to close the connection, which is reset if reset was called.
 type endpointScript func(c *endpointConn, r *http.Request, n int) bool
 
 type endpointConn struct {
@@ -69,13 +69,13 @@
 	endpoint *testEndpoint
 }
 
-// reset closes the connection with a reset.
+// reset makes closing the connection send a TCP reset, and returns false.
 func (c *endpointConn) reset() bool {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// events writes the head of a stream and events.
+// head writes the header of a stream.
 func (c *endpointConn) head(id string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id, c.endpoint.id)
 }
@@ -90,7 +90,7 @@
 	fmt.Fprintf(c, "HTTP/1.1 %d Status\r\nId: %s\r\nSigned: %s\r\nContent-Length: %d\r\n\r\n%s", status, id, c.endpoint.id, len(body), body)
 }
 
-// testEndpoint is an endpoint that follows a script and counts the requests that it read whole.
+// testEndpoint is an endpoint that follows a script and records the requests that it has read in full.
 type testEndpoint struct {
 	id      string
 	address string
@@ -151,7 +151,7 @@
 
 const testHost = "host.example"
 
-// testRoutes are one route of each kind, all served by one service.
+// testTable returns a table with one route of each kind, all served by one service.
 func testTable(t testing.TB, change func(*routes.Route)) *routes.Table {
 	t.Helper()
 	var all []routes.Route
@@ -188,33 +188,33 @@
 	}
 }
 
-// newGateway returns a gateway that believes in the endpoints, which are chosen in the order of their ids.
+// newGateway returns a gateway whose view contains the endpoints. It prefers them in the given order.
 func newGateway(t testing.TB, table *routes.Table, endpoints ...*testEndpoint) *testGateway {
 	t.Helper()
 	g := New(testConfig(), zerolog.Nop(), rand.NewPCG(1, 1))
-	v := &view{table: table, endpoints: map[string][]fleet.Endpoint{}, heard: time.Now(), current: true}
+	v := &view{table: table, endpoints: map[string][]fleet.Endpoint{}, updatedAt: time.Now(), current: true}
 	for i, e := range endpoints {
 		v.endpoints["desk"] = append(v.endpoints["desk"], fleet.Endpoint{ID: e.id, Born: 1, Service: "desk", Address: e.address, Slots: 8, Heard: time.Now()})
-		// A later endpoint looks slower, so that the order of attempts is known.
+		// A later endpoint looks slower, so that the order of attempts is fixed.
 		g.placer.states[e.id] = &endpointState{
-			born: 1, health: capacity.Health{Factor: 2 + 2*float64(i)}, parts: map[string]time.Time{}, cold: capacity.NewWindow(time.Second),
+			born: 1, health: capacity.Health{Factor: 2 + 2*float64(i)}, cachedParts: map[string]time.Time{}, coldWindow: capacity.NewWindow(time.Second),
 		}
 	}
 	g.view.Store(v)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.serve(w, r, false) }))
 	t.Cleanup(func() {
 		server.Close()
-		g.endWork()
+		g.cancelWork()
 	})
 	return &testGateway{Gateway: g, server: server}
 }
 
-// result is what a caller got.
+// result is the answer that a caller received.
 type result struct {
 	status int
 	header http.Header
 	body   string
-	// whole says that the answer was framed as complete.
+	// whole reports whether the answer's framing was complete.
 	whole bool
 	err   error
 }
@@ -247,7 +247,7 @@
 	return b.String()
 }
 
-// newForwardServer serves a gateway's calls from other gateways and returns the address.
+// newForwardServer serves the requests that other gateways forward to g, and returns its address.
 func newForwardServer(t *testing.T, g *testGateway) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.serve(w, r, true) }))
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// loadPeriod is how often changed loads are told to the other gateways of the region at least, and loadPeriodEach the
-	// time for each of them: what all of them send then grows with their number, not with its square.
-	loadPeriod     = 25 * time.Millisecond
-	loadPeriodEach = 7 * time.Millisecond
-	// loadSignOfLife is how often a gateway without changes says that it is alive.
-	loadSignOfLife = 500 * time.Millisecond
-	// loadStuck is how long one report may take before the stream is given up.
-	loadStuck = time.Second
+	// loadReportPeriod is the least interval at which changed loads are reported to the other gateways of the region.
+	// With more of them the interval is loadReportPeriodPerPeer times their number, so that the total traffic grows with
+	// the number of gateways and not with its square.
+	loadReportPeriod        = 25 * time.Millisecond
+	loadReportPeriodPerPeer = 7 * time.Millisecond
+	// loadHeartbeatPeriod is the interval of empty reports from a gateway whose loads do not change.
+	loadHeartbeatPeriod = 500 * time.Millisecond
+	// loadSendTimeout bounds the sending of one report, after which the stream is closed.
+	loadSendTimeout = time.Second
 )
 
-// tellLoads keeps a stream to each other gateway of the region until ctx ends.
-func (g *Gateway) tellLoads(ctx context.Context) {
+// reportLoads keeps a load stream to each other gateway of the region until ctx ends.
+func (g *Gateway) reportLoads(ctx context.Context) {
 	streams := map[string]*loadStream{}
-	all := time.Time{}
-	for clock.Sleep(ctx, max(loadPeriod, time.Duration(len(streams))*loadPeriodEach)) {
+	lastSent := time.Time{}
+	for clock.Sleep(ctx, max(loadReportPeriod, time.Duration(len(streams))*loadReportPeriodPerPeer)) {
 		peers := map[string]fleet.Gateway{}
 		for _, peer := range g.view.Load().peers(g.cfg.Region, g.cfg.Name) {
 			peers[peer.Name] = peer
@@ -41,18 +42,18 @@
 		}
 		for name, peer := range peers {
 			if streams[name] == nil {
-				streams[name] = g.openLoads(ctx, peer.LoadAddress)
+				streams[name] = g.openLoadStream(ctx, peer.LoadAddress)
 			}
 		}
 		now := time.Now()
 		changes := g.placer.outstandingChanges(now, false)
-		if len(changes) == 0 && now.Sub(all) < loadSignOfLife {
+		if len(changes) == 0 && now.Sub(lastSent) < loadHeartbeatPeriod {
 			continue
 		}
-		all = now
+		lastSent = now
 		m := &wiregen.OutstandingReport{Gateway: g.cfg.Name, Born: g.born, Outstanding: changes}
 		for _, s := range streams {
-			s.offer(m)
+			s.enqueue(m)
 		}
 	}
 	for _, s := range streams {
@@ -60,8 +61,8 @@
 	}
 }
 
-// loadStream carries reports to one gateway; reports that do not fit are dropped with the stream, which begins anew
-// with everything.
+// loadStream sends reports to one gateway. If its queue is full, the report is dropped and the stream is reopened,
+// which starts with a full report.
 type loadStream struct {
 	address string
 	reports chan *wiregen.OutstandingReport
@@ -69,10 +70,11 @@
 	restart chan struct{}
 }
 
-// queuedReports is the number of reports that wait for one stream.
-const queuedReports = 16
+// reportQueueLength is the number of reports that may wait for one stream.
+const reportQueueLength = 16
 
-func (s *loadStream) offer(m *wiregen.OutstandingReport) {
+// enqueue adds a report to the queue, or requests a new stream if the queue is full.
+func (s *loadStream) enqueue(m *wiregen.OutstandingReport) {
 	select {
 	case s.reports <- m:
 	default:
@@ -83,21 +85,23 @@
 	}
 }
 
-func (g *Gateway) openLoads(ctx context.Context, address string) *loadStream {
+// openLoadStream starts sending reports to an address and reconnects until it is canceled.
+func (g *Gateway) openLoadStream(ctx context.Context, address string) *loadStream {
 	ctx, cancel := context.WithCancel(ctx)
-	s := &loadStream{address: address, reports: make(chan *wiregen.OutstandingReport, queuedReports), cancel: cancel, restart: make(chan struct{}, 1)}
+	s := &loadStream{address: address, reports: make(chan *wiregen.OutstandingReport, reportQueueLength), cancel: cancel, restart: make(chan struct{}, 1)}
 	g.wg.Go(func() {
 		for ctx.Err() == nil {
-			if err := g.runLoads(ctx, s); err != nil && ctx.Err() == nil {
-				g.log.Debug().Str("gateway", address).Err(err).Msg("loadStreamLost")
+			if err := g.runLoadStream(ctx, s); err != nil && ctx.Err() == nil {
+				g.log.Debug().Str("gateway", address).Err(err).Msg("load stream failed")
 			}
-			clock.Sleep(ctx, changeCheck)
+			clock.Sleep(ctx, pollPeriod)
 		}
 	})
 	return s
 }
 
-func (g *Gateway) runLoads(ctx context.Context, s *loadStream) error {
+// runLoadStream sends a full report and then the queued ones, until an error or a requested restart.
+func (g *Gateway) runLoadStream(ctx context.Context, s *loadStream) error {
 	conn, err := g.cfg.Keys.Dial(s.address, maxUpdateBytes)
 	if err != nil {
 		return err
@@ -110,8 +114,8 @@
 		return err
 	}
 	send := func(m *wiregen.OutstandingReport) error {
-		stuck := time.AfterFunc(loadStuck, cancel)
-		defer stuck.Stop()
+		timer := time.AfterFunc(loadSendTimeout, cancel)
+		defer timer.Stop()
 		return stream.Send(m)
 	}
 	if err := send(&wiregen.OutstandingReport{Gateway: g.cfg.Name, Born: g.born, Outstanding: g.placer.outstandingChanges(time.Now(), true)}); err != nil {
@@ -131,21 +135,21 @@
 	}
 }
 
-// Tell takes the loads of another gateway.
+// Tell receives the load reports of another gateway.
 func (g *Gateway) Tell(stream grpc.ClientStreamingServer[wiregen.OutstandingReport, wiregen.OutstandingReply]) error {
 	name := ""
 	for {
 		m, err := stream.Recv()
 		if err != nil {
 			if name != "" {
-				g.placer.peerGone(name)
+				g.placer.removePeer(name)
 			}
 			if errors.Is(err, io.EOF) {
 				return stream.SendAndClose(&wiregen.OutstandingReply{})
 			}
 			return err
 		}
-		g.placer.peerTold(time.Now(), m, name == "")
+		g.placer.updatePeer(time.Now(), m, name == "")
 		name = m.GetGateway()
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -9,16 +9,16 @@
 	"arbutusreel/routes"
 )
 
-// times are the latency histograms of a gateway, by kind of route.
-type times struct {
+// latencies are the latency histograms of a gateway, by kind of route.
+type latencies struct {
 	// first is the time until an answer began, and whole until it ended.
 	first map[routes.Kind]*metrics.Times
 	whole map[routes.Kind]*metrics.Times
 }
 
-// newTimes lists the histograms, and the connections opened to endpoints, in a set.
-func newTimes(set *metrics.Set, pool *exchange.Pool) *times {
-	t := &times{first: map[routes.Kind]*metrics.Times{}, whole: map[routes.Kind]*metrics.Times{}}
+// newLatencies adds the histograms, and the number of connections opened to endpoints, to a metrics set.
+func newLatencies(set *metrics.Set, pool *exchange.Pool) *latencies {
+	t := &latencies{first: map[routes.Kind]*metrics.Times{}, whole: map[routes.Kind]*metrics.Times{}}
 	for _, kind := range []routes.Kind{routes.Unsafe, routes.Safe, routes.Stream} {
 		t.first[kind], t.whole[kind] = metrics.NewTimes(), metrics.NewTimes()
 		set.Add(kind.String()+"FirstMicros", t.first[kind])
@@ -28,8 +28,8 @@
 	return t
 }
 
-// note counts an answer that was given whole.
-func (t *times) note(kind routes.Kind, received, first time.Time) {
+// record adds an answer that was sent in full.
+func (t *latencies) record(kind routes.Kind, received, first time.Time) {
 	t.first[kind].Note(first.Sub(received))
 	t.whole[kind].Note(time.Since(received))
 }
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -12,78 +12,82 @@
 )
 
 const (
-	// partMemory is how long a part of a prompt is believed to be kept after its last use.
-	partMemory = 20 * time.Second
-	// maxParts bounds the parts remembered for one endpoint.
-	maxParts = 4096
-	// peerLoadAge is the age after which what another gateway has outstanding is no longer counted: its reports come
-	// many times a second, so that it has ended or is cut off.
-	peerLoadAge = 2 * time.Second
-	// budgetShare is the part of the common retry budget that is used, as the windows of two gateways do not begin together.
-	budgetShare = 0.85
+	// cachedPartTTL is how long after its last use a prompt part is assumed to stay in an endpoint's prefix cache.
+	cachedPartTTL = 20 * time.Second
+	// maxCachedParts is the number of tracked parts of one endpoint above which expired ones are removed.
+	maxCachedParts = 4096
+	// peerLoadTTL is the age after which the load reported by another gateway is no longer counted. Reports arrive many
+	// times a second, so that a gateway without any has ended or is unreachable.
+	peerLoadTTL = 2 * time.Second
+	// retryBudgetShare is the share of the common retry budget that is used. It leaves a reserve because the windows of
+	// the gateways are not aligned.
+	retryBudgetShare = 0.85
 )
 
-// endpointState is what this gateway knows of an endpoint besides its record.
+// endpointState holds what this gateway tracks of an endpoint besides its fleet record.
 type endpointState struct {
-	born   int64
-	own    capacity.Outstanding
-	recent capacity.Recent
-	health capacity.Health
-	// outcomes are those of this gateway's requests, the endpoint's own failures among them.
+	born        int64
+	outstanding capacity.Outstanding
+	recent      capacity.Recent
+	health      capacity.Health
+	// outcomes counts the results of this gateway's requests, the endpoint's own error answers included.
 	outcomes capacity.Outcomes
-	parts    map[string]time.Time
-	cold     *capacity.Window
-	// coldUntil is the end of the cold time that the endpoint told in an answer.
+	// cachedParts maps the ID of a prompt part to the time of its last use.
+	cachedParts map[string]time.Time
+	coldWindow  *capacity.Window
+	// coldUntil is the end of the cold period that the endpoint announced in an answer.
 	coldUntil time.Time
-	// failedAt is when a connection to it failed last; zero once it has answered since.
-	failedAt time.Time
+	// connectFailedAt is the time of the last failed connection; zero once the endpoint has answered since.
+	connectFailedAt time.Time
 }
 
+// peerLoad is the load reported by another gateway of the region.
 type peerLoad struct {
-	born  int64
-	heard time.Time
-	loads map[string]capacity.Outstanding
-	// recent is what it sent lately.
+	born       int64
+	receivedAt time.Time
+	loads      map[string]capacity.Outstanding
+	// recent holds the prompt tokens that it sent recently, by endpoint.
 	recent map[string]capacity.Recent
-	// outcomes are those that it saw lately.
+	// outcomes holds the recent results of its requests, by endpoint.
 	outcomes map[string]capacity.Outcomes
 }
 
-// placer decides where requests go; it does no I/O and is safe for concurrent use.
+// placer selects the endpoint or the region for each request. It does no I/O and is safe for concurrent use.
 type placer struct {
 	cfg Config
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	states   map[string]*endpointState
-	peers    map[string]*peerLoad
-	speeds   map[string]capacity.Speed
-	demands  map[string]capacity.Demand
-	breakers *retry.Breakers[string]
-	gateways *retry.Breakers[string]
-	// regions are the breakers of whole regions: when several gateways of one cannot be reached, the others are not tried one
-	// after the other.
-	regions   *retry.Breakers[string]
-	budgets   map[string]*retry.Allowance
-	sent      map[string][]sentTokens
-	changed   map[string]bool
-	mostPeers int
-	// longest is the longest time that callers of a route were seen to have.
-	longest map[string]time.Duration
-	// sums caches what the other gateways have at an endpoint until one of them tells something new.
-	sums map[string]peerSum
-	// candidates and endpoints are reused by each decision.
+	mu               sync.Mutex
+	rng              *rand.Rand
+	states           map[string]*endpointState
+	peers            map[string]*peerLoad
+	speeds           map[string]capacity.Speed
+	demands          map[string]capacity.Demand
+	endpointBreakers *retry.Breakers[string]
+	gatewayBreakers  *retry.Breakers[string]
+	// regionBreakers are the circuit breakers of whole regions: once several gateways of a region have been
+	// unreachable, the others are not tried one after the other.
+	regionBreakers   *retry.Breakers[string]
+	retryBudgets     map[string]*retry.Allowance
+	sentToRegion     map[string][]sentTokens
+	changedEndpoints map[string]bool
+	maxGateways      int
+	// longestPatience is the longest time limit seen from the callers of each route.
+	longestPatience map[string]time.Duration
+	// peerSums caches the load of the other gateways by endpoint until one of them sends a new report.
+	peerSums map[string]peerSum
+	// candidates and endpoints are buffers that are reused by each decision.
 	candidates []capacity.Candidate
 	endpoints  []*fleet.Endpoint
-	// began is when the first request was placed, and holders when each gateway of the region was named last, in view seen.
-	began   time.Time
-	holders map[string]time.Time
-	seen    *view
-	// swept is when peers that fell silent were looked for last.
-	swept time.Time
+	// firstDecisionAt is the time of the first decision. shareHolders maps each gateway of the region to the time when
+	// it was last listed, as of holdersView.
+	firstDecisionAt time.Time
+	shareHolders    map[string]time.Time
+	holdersView     *view
+	// sweptAt is when expired peers were last removed.
+	sweptAt time.Time
 }
 
-// peerSum is what the other gateways of the region have outstanding at an endpoint, and sent there lately.
+// peerSum is the outstanding and recent load of the other gateways of the region at an endpoint.
 type peerSum struct {
 	outstanding capacity.Outstanding
 	recent      capacity.Recent
@@ -97,108 +101,110 @@
 
 func newPlacer(cfg Config, source rand.Source) *placer {
 	return &placer{
-		cfg:      cfg,
-		rng:      rand.New(source),
-		states:   map[string]*endpointState{},
-		peers:    map[string]*peerLoad{},
-		speeds:   map[string]capacity.Speed{},
-		demands:  map[string]capacity.Demand{},
-		breakers: retry.NewBreakers[string](source),
-		gateways: retry.NewBreakers[string](source),
-		regions:  retry.NewBreakers[string](source),
-		budgets:  map[string]*retry.Allowance{},
-		sent:     map[string][]sentTokens{},
-		changed:  map[string]bool{},
-		longest:  map[string]time.Duration{},
-		sums:     map[string]peerSum{},
-		holders:  map[string]time.Time{},
+		cfg:              cfg,
+		rng:              rand.New(source),
+		states:           map[string]*endpointState{},
+		peers:            map[string]*peerLoad{},
+		speeds:           map[string]capacity.Speed{},
+		demands:          map[string]capacity.Demand{},
+		endpointBreakers: retry.NewBreakers[string](source),
+		gatewayBreakers:  retry.NewBreakers[string](source),
+		regionBreakers:   retry.NewBreakers[string](source),
+		retryBudgets:     map[string]*retry.Allowance{},
+		sentToRegion:     map[string][]sentTokens{},
+		changedEndpoints: map[string]bool{},
+		longestPatience:  map[string]time.Duration{},
+		peerSums:         map[string]peerSum{},
+		shareHolders:     map[string]time.Time{},
 	}
 }
 
-// query is a request that needs a place.
+// query describes a request for which an endpoint or a region is selected.
 type query struct {
 	route   *routes.Route
 	service *routes.Service
 	work    capacity.Work
 	asked   capacity.Asked
-	// tried are endpoints and gateways that are not tried again.
+	// tried holds the endpoints, gateways and regions that must not be tried again.
 	tried map[string]bool
-	// forwarded requests came from another region and do not leave this one.
+	// forwarded requests came from another region and must not leave this one.
 	forwarded bool
-	// must takes any endpoint, as a request in progress is better late than broken off.
-	must bool
+	// mustPlace accepts any endpoint regardless of the expected time: a stream in progress is better resumed late than
+	// broken off.
+	mustPlace bool
 }
 
-// place is where a request goes: an endpoint, a gateway of another region, or nowhere.
-type place struct {
+// decision is the result of a query: an endpoint of this region, a gateway of another region, or a refusal.
+type decision struct {
 	verdict  capacity.Verdict
 	endpoint fleet.Endpoint
 	gateway  fleet.Gateway
 	region   string
 	expected time.Duration
-	// cost is the expected time with all else that counts against the place.
-	cost   time.Duration
-	unread int64
-	load   capacity.Outstanding
-	// backlog is the endpoint's outstanding work before the request.
+	// cost is the expected time plus the penalties of the candidate.
+	cost           time.Duration
+	uncachedTokens int64
+	addedLoad      capacity.Outstanding
+	// backlog is the outstanding work of the endpoint before this request.
 	backlog    capacity.Outstanding
 	candidates int
-	favourite  bool
-	// fetchFrom is the address of the engine that keeps the prompt's shared parts, if they are fetched from it.
+	affinity   bool
+	// fetchFrom is the address of the engine from which the cached prefix of the prompt is fetched; empty for none.
 	fetchFrom string
-	// full says that the endpoint had no slot or no memory left.
+	// full reports whether the endpoint had no free slot or no free memory.
 	full bool
-	// rank is that of the request's urgency, and overtaken the share of the endpoint's time that more urgent ones take.
-	rank        int
-	overtaken   float64
-	reason      string
-	retryAfter  time.Duration
-	probe       retry.Probe
-	regionProbe retry.Probe
+	// rank is the priority rank of the request, and preemptedShare the share of the endpoint's time that requests of
+	// higher priority take.
+	rank           int
+	preemptedShare float64
+	reason         string
+	retryAfter     time.Duration
+	probe          retry.Probe
+	regionProbe    retry.Probe
 }
 
-// Reasons why a request goes nowhere.
+// Reasons for a refusal.
 const (
-	reasonNoEndpoint = "noEndpoint"
-	reasonBacklog    = "backlog"
-	reasonNotHome    = "notAllowedInRegion"
+	reasonNoEndpoint         = "noEndpoint"
+	reasonBacklog            = "backlog"
+	reasonNotAllowedInRegion = "notAllowedInRegion"
 )
 
-// decide returns the place of a request.
-func (p *placer) decide(now time.Time, v *view, q query) place {
+// decide selects where a request goes.
+func (p *placer) decide(now time.Time, v *view, q query) decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	speed := p.speedNow(now, v, q.service.Name)
+	speed := p.currentSpeed(now, v, q.service.Name)
 	q.work.Rank = capacity.Rank(q.route.Priority, false)
-	local, endpoints := p.local(now, v, q)
+	local, endpoints := p.localCandidates(now, v, q)
 	choice, ok := capacity.Choose(local, q.work, speed, fetchTime(q.service), q.route.Objective, p.rng.Float64())
-	here := place{verdict: capacity.Refuse, expected: noLocalEndpoint, cost: noLocalEndpoint, reason: reasonNoEndpoint, candidates: len(local)}
+	here := decision{verdict: capacity.Refuse, expected: noEndpointTime, cost: noEndpointTime, reason: reasonNoEndpoint, candidates: len(local)}
 	if !q.route.Allows(p.cfg.Region) {
-		here.reason = reasonNotHome
+		here.reason = reasonNotAllowedInRegion
 	}
 	if ok {
 		here.endpoint = *endpoints[choice.Index]
 		if choice.Keeper >= 0 {
 			here.fetchFrom = endpoints[choice.Keeper].Address
 		}
-		here.expected, here.cost, here.unread = choice.Expected, choice.Cost, choice.Unread
-		here.favourite, here.full = choice.Favourite, choice.Full
+		here.expected, here.cost, here.uncachedTokens = choice.Expected, choice.Cost, choice.Unread
+		here.affinity, here.full = choice.Favourite, choice.Full
 		here.backlog = local[choice.Index].Outstanding
-		here.load, here.rank = q.work.Load(choice.Unread), q.work.Rank
+		here.addedLoad, here.rank = q.work.Load(choice.Unread), q.work.Rank
 		late := q.work
 		late.Rank = capacity.Rank(q.route.Priority, true)
 		here.verdict = capacity.Admit(choice.Expected, capacity.Expected(local[choice.Index], late, choice.Unread, speed).Wait, q.asked)
 		here.reason = reasonBacklog
-		if q.must {
+		if q.mustPlace {
 			here.verdict = capacity.Take
 		}
 		if here.verdict == capacity.TakeLate {
-			here.load, here.rank = late.Load(choice.Unread), late.Rank
+			here.addedLoad, here.rank = late.Load(choice.Unread), late.Rank
 		}
-		here.overtaken = speed.Overtaking.Reading[here.rank]
+		here.preemptedShare = speed.Overtaking.Reading[here.rank]
 	}
-	if !q.forwarded && (here.verdict != capacity.Take || here.cost > p.cfg.Detour+crossAdvantage) {
-		if there, ok := p.cross(now, v, q, speed, here); ok {
+	if !q.forwarded && (here.verdict != capacity.Take || here.cost > p.cfg.Detour+minCrossRegionGain) {
+		if there, ok := p.crossRegion(now, v, q, speed, here); ok {
 			return there
 		}
 	}
@@ -208,7 +214,8 @@
 	return here
 }
 
-// fetchTime returns the time to fetch one token of a prompt from another endpoint of a service, or zero.
+// fetchTime returns the time to fetch one prompt token from another endpoint's prefix cache, or zero if the service's
+// engines cannot do so.
 func fetchTime(s *routes.Service) time.Duration {
 	if s.Engine == nil {
 		return 0
@@ -216,66 +223,69 @@
 	return s.Engine.FetchTime
 }
 
-// hasRoom reports whether an endpoint of this region would take a request on time.
-func (p *placer) hasRoom(now time.Time, v *view, q query) bool {
+// canServeOnTime reports whether an endpoint of this region is expected to answer a request within its objective.
+func (p *placer) canServeOnTime(now time.Time, v *view, q query) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q.work.Rank = capacity.Rank(q.route.Priority, false)
-	local, _ := p.local(now, v, q)
-	choice, ok := capacity.Choose(local, q.work, p.speedNow(now, v, q.service.Name), fetchTime(q.service), q.route.Objective, 0)
+	local, _ := p.localCandidates(now, v, q)
+	choice, ok := capacity.Choose(local, q.work, p.currentSpeed(now, v, q.service.Name), fetchTime(q.service), q.route.Objective, 0)
 	return ok && capacity.Admit(choice.Expected, choice.Expected, q.asked) == capacity.Take
 }
 
-// local returns the endpoints of this region that may take a request, which are valid until the next call.
-func (p *placer) local(now time.Time, v *view, q query) ([]capacity.Candidate, []*fleet.Endpoint) {
+// localCandidates returns the endpoints of this region that may take a request. The slices are valid until the next
+// call.
+func (p *placer) localCandidates(now time.Time, v *view, q query) ([]capacity.Candidate, []*fleet.Endpoint) {
 	if !q.route.Allows(p.cfg.Region) {
 		return nil, nil
 	}
-	p.sweep(now)
-	rank, n := p.holderRank(now, v)
+	p.expirePeers(now)
+	rank, n := p.coldShareRank(now, v)
 	speed := p.speed(q.service.Name)
 	p.candidates, p.endpoints = p.candidates[:0], p.endpoints[:0]
 	all := v.endpoints[q.service.Name]
 	for i := range all {
 		e := &all[i]
 		s := p.state(e)
-		if q.tried[e.ID] || !p.breakers.Allows(now, e.ID) || !e.GoneAt.IsZero() {
+		if q.tried[e.ID] || !p.endpointBreakers.Allows(now, e.ID) || !e.GoneAt.IsZero() {
 			continue
 		}
-		if p.isCold(e, s, now) && s.cold.Count(now) >= p.coldLimit(now, q.service, e, rank, n) {
+		if p.isCold(e, s, now) && s.coldWindow.Count(now) >= p.coldLimit(now, q.service, e, rank, n) {
 			continue
 		}
 		peers := p.peerSum(now, e.ID)
 		c := capacity.Candidate{
-			ID: e.ID, Outstanding: s.own.Plus(peers.outstanding), Health: s.health, Slots: e.Slots, Busy: s.busy(now, speed, peers),
+			ID: e.ID, Outstanding: s.outstanding.Plus(peers.outstanding), Health: s.health, Slots: e.Slots, Busy: s.prefillShare(now, speed, peers),
 			Failing: s.outcomes.Plus(now, peers.outcomes).Failing(now), Remote: e.FailureDomain != p.cfg.FailureDomain,
 		}
 		if q.service.Engine != nil {
 			c.Memory = q.service.Engine.CacheTokens
-			c.KeptParts = s.kept(now, q.work)
+			c.KeptParts = s.cachedPartCount(now, q.work)
 		}
 		p.candidates, p.endpoints = append(p.candidates, c), append(p.endpoints, e)
 	}
 	return p.candidates, p.endpoints
 }
 
+// state returns the tracked state of an endpoint. A new incarnation starts afresh, except for the requests still
+// outstanding.
 func (p *placer) state(e *fleet.Endpoint) *endpointState {
 	s := p.states[e.ID]
 	if s == nil || s.born != e.Born {
 		own := capacity.Outstanding{}
 		if s != nil {
-			own = s.own
+			own = s.outstanding
 		}
-		s = &endpointState{born: e.Born, own: own, health: capacity.NewHealth(), parts: map[string]time.Time{}, cold: capacity.NewWindow(time.Second)}
+		s = &endpointState{born: e.Born, outstanding: own, health: capacity.NewHealth(), cachedParts: map[string]time.Time{}, coldWindow: capacity.NewWindow(time.Second)}
 		p.states[e.ID] = s
-		p.breakers.Forget(e.ID)
+		p.endpointBreakers.Forget(e.ID)
 	}
 	return s
 }
 
-// peerSum returns what the other gateways have at an endpoint.
+// peerSum returns the load of the other gateways at an endpoint.
 func (p *placer) peerSum(now time.Time, id string) peerSum {
-	sum, ok := p.sums[id]
+	sum, ok := p.peerSums[id]
 	if ok {
 		return sum
 	}
@@ -286,39 +296,41 @@
 		sum.outcomes = sum.outcomes.Plus(now, peer.outcomes[id])
 	}
 	sum.recent = capacity.NewRecent(now, tokens)
-	p.sums[id] = sum
+	p.peerSums[id] = sum
 	return sum
 }
 
-// sweep forgets gateways that have been silent for too long.
-func (p *placer) sweep(now time.Time) {
-	if now.Sub(p.swept) < peerLoadAge/4 {
+// expirePeers removes gateways whose last report is older than peerLoadTTL.
+func (p *placer) expirePeers(now time.Time) {
+	if now.Sub(p.sweptAt) < peerLoadTTL/4 {
 		return
 	}
-	p.swept = now
+	p.sweptAt = now
 	for name, peer := range p.peers {
-		if now.Sub(peer.heard) > peerLoadAge {
+		if now.Sub(peer.receivedAt) > peerLoadTTL {
 			delete(p.peers, name)
-			clear(p.sums)
+			clear(p.peerSums)
 		}
 	}
 }
 
-// busy returns the share of its time for which an endpoint reads prompts, by what all gateways sent lately.
-func (s *endpointState) busy(now time.Time, speed capacity.Speed, peers peerSum) float64 {
+// prefillShare returns the share of its time that an endpoint spends on prefill, from the tokens that all gateways sent
+// recently.
+func (s *endpointState) prefillShare(now time.Time, speed capacity.Speed, peers peerSum) float64 {
 	return speed.Busy(s.recent.Tokens(now) + peers.recent.Tokens(now))
 }
 
-// kept returns the number of a prompt's first shared parts that the endpoint is believed to keep.
-func (s *endpointState) kept(now time.Time, w capacity.Work) int {
+// cachedPartCount returns the number of leading shared parts of a prompt that the endpoint is assumed to have cached.
+func (s *endpointState) cachedPartCount(now time.Time, w capacity.Work) int {
 	for i, part := range w.Shared() {
-		if used, ok := s.parts[part.ID]; !ok || now.Sub(used) > partMemory {
+		if used, ok := s.cachedParts[part.ID]; !ok || now.Sub(used) > cachedPartTTL {
 			return i
 		}
 	}
 	return len(w.Shared())
 }
 
+// speed returns the learned speed of a service's endpoints, or the initial one.
 func (p *placer) speed(service string) capacity.Speed {
 	s, ok := p.speeds[service]
 	if !ok {
@@ -327,8 +339,9 @@
 	return s
 }
 
-// speedNow returns the speed of a service's endpoints with what more urgent requests take of their time.
-func (p *placer) speedNow(now time.Time, v *view, service string) capacity.Speed {
+// currentSpeed returns the speed of a service's endpoints together with the share of their time that requests of higher
+// priority take.
+func (p *placer) currentSpeed(now time.Time, v *view, service string) capacity.Speed {
 	_, gateways := v.rank(p.cfg.Region, p.cfg.Name)
 	endpoints, slots := v.endpoints[service], 0
 	for i := range endpoints {
@@ -337,17 +350,18 @@
 	return p.speed(service).WithOvertaking(p.demands[service].Overtaking(now, gateways, len(endpoints), slots))
 }
 
-// draw returns a number in [0, 1) that decides among the services of a route.
+// draw returns a random number in [0, 1) that selects one of a route's services.
 func (p *placer) draw() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Float64()
 }
 
-// returned reports whether a caller of a route with so much time was refused before.
-func (p *placer) returned(route string, patience time.Duration) bool {
+// refusedBefore reports whether the caller of a route, by its remaining time limit, was refused before. Callers count
+// their time from the first attempt, so that one with much less than the longest limit seen has come back.
+func (p *placer) refusedBefore(route string, patience time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.longest[route] = max(p.longest[route], patience)
-	return patience > 0 && capacity.Returned(patience, p.longest[route])
+	p.longestPatience[route] = max(p.longestPatience[route], patience)
+	return patience > 0 && capacity.Returned(patience, p.longestPatience[route])
 }
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -14,7 +14,7 @@
 
 const coldRate = 4.0
 
-// newPlacers returns placers of gateways in one region that see the same endpoints.
+// newPlacers returns the placers of n gateways in one region that share a view of the endpoints.
 func newPlacers(t testing.TB, n int, endpoints ...fleet.Endpoint) ([]*placer, *view, *routes.Route, *routes.Service) {
 	t.Helper()
 	engine := &routes.Engine{BatchSlots: 128, CacheTokens: 500_000, EventTokens: 8}
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestColdShares sends as much as the gateways allow to a cold endpoint: in no second does it get more than it bears,
-// over all gateways.
+// TestColdShares offers a cold endpoint as many requests as the gateways allow: in no second do all gateways together
+// exceed its limit.
 func TestColdShares(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 28} {
 		now := time.Unix(1000, 0)
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestColdSharesAtStart starts the gateways of a region one after the other, each of which is named to the others a tenth
-// of a second later, and cuts them into two halves afterwards: a cold endpoint never gets more than it bears.
+// TestColdSharesAtStart starts the gateways of a region one after the other, each of which the others learn of a tenth
+// of a second later, and then partitions them into two halves: a cold endpoint never gets more than its limit.
 func TestColdSharesAtStart(t *testing.T) {
 	const (
 		gateways = 4
@@ -89,7 +89,7 @@
 	start := time.Unix(1000, 0)
 	e := fleet.Endpoint{ID: "cold", Born: 7, Service: "model", Slots: 128, State: fleet.Ready, ColdUntil: start.Add(time.Hour)}
 	placers, all, r, s := newPlacers(t, gateways, e)
-	// named returns what a gateway is told of the others at a time.
+	// named returns the view of a gateway at a time.
 	named := func(i int, at time.Duration) *view {
 		v := *all
 		v.gateways = nil
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestReachedAgain fails one connection to each endpoint: when they answer again, or a few seconds later, they take all
-// requests again, without a new record of them.
-func TestReachedAgain(t *testing.T) {
+// TestEndpointReachableAgain fails one connection to an endpoint: once it answers again, or a few seconds later, it
+// gets all requests again without a new record from a control daemon.
+func TestEndpointReachableAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := fleet.Endpoint{ID: "a", Born: 7, Service: "model", Slots: 128, State: fleet.Ready, Heard: now.Add(-time.Minute)}
 	for name, answers := range map[string]bool{"answered": true, "later": false} {
@@ -144,7 +144,7 @@
 			if answers {
 				at = now.Add(2 * time.Second)
 				f := p.begin(at, "model", capacity.Work{}, p.decide(at, v, ask(r, s)))
-				f.first(at)
+				f.recordFirst(at)
 				f.end(at, succeeded)
 			}
 			for i := range 50 {
@@ -153,16 +153,16 @@
 					t.Fatalf("request %d: %v, %s", i, place.verdict, place.reason)
 				}
 				f := p.begin(at, "model", capacity.Work{}, place)
-				f.first(at)
+				f.recordFirst(at)
 				f.end(at, succeeded)
 			}
 		})
 	}
 }
 
-// TestLoadsToldToPeers places requests at two gateways that tell each other their loads: the busiest of like endpoints
-// has at most 1.2 times the mean.
-func TestLoadsToldToPeers(t *testing.T) {
+// TestLoadsReportedToPeers places requests at two gateways that report their loads to each other: the busiest of equal
+// endpoints gets at most 1.2 times the mean.
+func TestLoadsReportedToPeers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var endpoints []fleet.Endpoint
 	for i := range 4 {
@@ -177,9 +177,9 @@
 		if place.verdict == capacity.Refuse {
 			t.Fatalf("request %d was refused: %s", i, place.reason)
 		}
-		p.begin(now, "model", ask(r, s).work, place).first(now.Add(50 * time.Millisecond))
+		p.begin(now, "model", ask(r, s).work, place).recordFirst(now.Add(50 * time.Millisecond))
 		counts[place.endpoint.ID]++
-		other.peerTold(now, reportOf(p, now), false)
+		other.updatePeer(now, reportOf(p, now), false)
 		now = now.Add(5 * time.Millisecond)
 	}
 	for id, n := range counts {
@@ -193,9 +193,10 @@
 	return &wiregen.OutstandingReport{Gateway: p.cfg.Name, Born: 1, Outstanding: p.outstandingChanges(now, true)}
 }
 
-// TestCutRegion cuts a region off whose gateways are many: after a few failures the others are not tried, nor is the
-// region when it has not told its room for a while. When it tells it again, it gets requests at once.
-func TestCutRegion(t *testing.T) {
+// TestPartitionedRegion makes all gateways of a region unreachable: after a few failures neither the other gateways
+// nor, while its capacity is stale, the region are tried. Once its capacity is reported again, it gets requests at
+// once.
+func TestPartitionedRegion(t *testing.T) {
 	const gateways = 20
 	now := time.Unix(1000, 0)
 	placers, v, r, s := newPlacers(t, 1)
@@ -204,13 +205,13 @@
 		v.gateways = append(v.gateways, fleet.Gateway{Name: fmt.Sprintf("there-%d", i), Region: "there", Ready: true})
 	}
 	room := capacity.Room{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
-	v.rooms = map[string]regionRoom{"there": {heard: now, services: map[string]capacity.Room{"model": room}}}
+	v.capacities = map[string]regionCapacity{"there": {reportedAt: now, services: map[string]capacity.Room{"model": room}}}
 	crosses := func() bool {
 		at := p.decide(now, v, ask(r, s))
 		if at.region == "" {
 			return false
 		}
-		p.gatewayEnded(now, at, false)
+		p.recordForward(now, at, false)
 		return true
 	}
 	tried := 0
@@ -220,20 +221,20 @@
 		}
 	}
 	if tried == 0 || tried > 3 {
-		t.Errorf("%d gateways of a region that is cut off were tried", tried)
+		t.Errorf("%d gateways of an unreachable region were tried", tried)
 	}
 	now = now.Add(10 * time.Second)
 	update := []*wiregen.RegionRoom{{Region: "there"}}
-	p.roomsTold(now, v, update)
-	v.rooms["there"] = regionRoom{heard: now, services: v.rooms["there"].services}
+	p.updateRegionCapacities(now, v, update)
+	v.capacities["there"] = regionCapacity{reportedAt: now, services: v.capacities["there"].services}
 	if !crosses() {
-		t.Error("the region told its room again and gets nothing")
+		t.Error("the region reported its capacity again and gets nothing")
 	}
 }
 
-// TestSilentRegion leaves requests in a busy region when the other one has not told its room for a while, and sends them
-// there if there is no endpoint here at all.
-func TestSilentRegion(t *testing.T) {
+// TestStaleRegionCapacity keeps requests in a busy region while the capacity of the other one is stale, and forwards
+// them there if this region has no endpoint at all.
+func TestStaleRegionCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name      string
@@ -241,7 +242,7 @@
 		age       time.Duration
 		crosses   bool
 	}{
-		{"busy, room told", []fleet.Endpoint{{ID: "busy", Service: "model", Slots: 128}}, 300 * time.Millisecond, true},
+		{"busy, capacity reported", []fleet.Endpoint{{ID: "busy", Service: "model", Slots: 128}}, 300 * time.Millisecond, true},
 		{"busy, silent", []fleet.Endpoint{{ID: "busy", Service: "model", Slots: 128}}, 2 * time.Second, false},
 		{"no endpoint, silent", nil, 2 * time.Second, true},
 	} {
@@ -249,9 +250,9 @@
 			placers, v, r, s := newPlacers(t, 1, c.endpoints...)
 			v.gateways = append(v.gateways, fleet.Gateway{Name: "there-0", Region: "there", Ready: true})
 			room := capacity.Room{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
-			v.rooms = map[string]regionRoom{"there": {heard: now.Add(-c.age), services: map[string]capacity.Room{"model": room}}}
+			v.capacities = map[string]regionCapacity{"there": {reportedAt: now.Add(-c.age), services: map[string]capacity.Room{"model": room}}}
 			if len(c.endpoints) > 0 {
-				placers[0].state(&c.endpoints[0]).own.PromptTokens[0] = 50_000
+				placers[0].state(&c.endpoints[0]).outstanding.PromptTokens[0] = 50_000
 			}
 			if got := placers[0].decide(now, v, ask(r, s)); (got.region != "") != c.crosses {
 				t.Errorf("region %q, verdict %v", got.region, got.verdict)
@@ -260,9 +261,10 @@
 	}
 }
 
-// TestLyingEndpoint lets one of three endpoints fail every request at once, so that it never has any outstanding: three
-// gateways that tell each other soon send nearly nothing there. Where all fail alike, requests are shared as before.
-func TestLyingEndpoint(t *testing.T) {
+// TestFastFailingEndpoint makes one of three endpoints fail every request at once, so that it never has any outstanding
+// and looks idle: three gateways that share their outcomes soon send it almost nothing. If all endpoints fail equally
+// often, requests are spread evenly.
+func TestFastFailingEndpoint(t *testing.T) {
 	for name, fails := range map[string]func(id string, i int) bool{
 		"one":  func(id string, _ int) bool { return id == "a" },
 		"none": func(_ string, i int) bool { return i%7 == 0 },
@@ -284,14 +286,14 @@
 				f := p.begin(now, "model", q.work, at)
 				how := succeeded
 				if fails(at.endpoint.ID, i) {
-					how = ended
+					how = errorAnswer
 				}
-				f.first(now.Add(30 * time.Millisecond))
+				f.recordFirst(now.Add(30 * time.Millisecond))
 				f.end(now.Add(30*time.Millisecond), how)
 				counts[at.endpoint.ID]++
 				for _, other := range placers {
 					if other != p {
-						other.peerTold(now, reportOf(p, now), false)
+						other.updatePeer(now, reportOf(p, now), false)
 					}
 				}
 				now = now.Add(10 * time.Millisecond)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -11,42 +11,43 @@
 )
 
 const (
-	// regionSentMemory is how long what was sent to a region counts against the room that it told before.
-	regionSentMemory = time.Second
-	// crossAdvantage is the time that a request must gain to leave its region although it would be on time here: it pays for
-	// what was told of the other region being a few hundred milliseconds old. Where a region is short of capacity its
-	// backlog slows every stream in it, long before the first pieces are late.
-	crossAdvantage = 60 * time.Millisecond
-	// noLocalEndpoint is the expected time where a region has no endpoint for a request.
-	noLocalEndpoint = time.Hour
+	// regionSentWindow is how long the tokens sent to a region are counted against its reported capacity.
+	regionSentWindow = time.Second
+	// minCrossRegionGain is the least gain in cost for which a request leaves its region although it would be on time
+	// here. It allows for the reported capacity of the other region being a few hundred milliseconds old. Requests
+	// cross before they would be late, because the backlog of an overloaded region slows every stream in it long before
+	// the first pieces are late.
+	minCrossRegionGain = 60 * time.Millisecond
+	// noEndpointTime is the expected time of a request for which a region has no endpoint.
+	noEndpointTime = time.Hour
 )
 
-// cross returns a gateway of another region, if a request is served earlier there.
-func (p *placer) cross(now time.Time, v *view, q query, speed capacity.Speed, here place) (place, bool) {
-	open := p.openGateways(now, v, q)
-	there, ok := capacity.Cross(p.roomsOf(now, v, q, open), q.work, speed, p.cfg.Detour, here.cost)
-	if !ok && here.expected == noLocalEndpoint {
-		there.Region, ok = p.blindRegion(now, v, q, open)
+// crossRegion returns a gateway of another region if the request is expected to be served at a lower cost there.
+func (p *placer) crossRegion(now time.Time, v *view, q query, speed capacity.Speed, here decision) (decision, bool) {
+	available := p.availableGateways(now, v, q)
+	there, ok := capacity.Cross(p.capacitiesOf(now, v, q, available), q.work, speed, p.cfg.Detour, here.cost)
+	if !ok && here.expected == noEndpointTime {
+		there.Region, ok = p.staleRegion(now, v, q, available)
 		there.Expected = speed.Base + p.cfg.Detour
 		there.Late = there.Expected
 	}
 	verdict := capacity.Admit(there.Expected, there.Late, q.asked)
-	if !ok || !worthCrossing(here, there.Cost, verdict) {
-		return place{}, false
+	if !ok || !shouldCrossRegion(here, there.Cost, verdict) {
+		return decision{}, false
 	}
-	g := open[there.Region][p.rng.IntN(len(open[there.Region]))]
-	p.sent[there.Region] = append(p.sent[there.Region], sentTokens{at: now, tokens: q.work.PromptTokens + 1})
-	return place{
-		verdict: verdict, gateway: g, region: there.Region, expected: there.Expected, cost: there.Cost, probe: p.gateways.Begin(now, g.Name),
-		regionProbe: p.regions.Begin(now, there.Region),
+	g := available[there.Region][p.rng.IntN(len(available[there.Region]))]
+	p.sentToRegion[there.Region] = append(p.sentToRegion[there.Region], sentTokens{at: now, tokens: q.work.PromptTokens + 1})
+	return decision{
+		verdict: verdict, gateway: g, region: there.Region, expected: there.Expected, cost: there.Cost, probe: p.gatewayBreakers.Begin(now, g.Name),
+		regionProbe: p.regionBreakers.Begin(now, there.Region),
 	}, true
 }
 
-// worthCrossing reports whether a request goes to another region, at a cost and with a verdict there.
-func worthCrossing(here place, cost time.Duration, verdict capacity.Verdict) bool {
+// shouldCrossRegion reports whether a request is forwarded to another region, given the cost and the verdict there.
+func shouldCrossRegion(here decision, cost time.Duration, verdict capacity.Verdict) bool {
 	switch here.verdict {
 	case capacity.Take:
-		return verdict == capacity.Take && cost+crossAdvantage <= here.cost
+		return verdict == capacity.Take && cost+minCrossRegionGain <= here.cost
 	case capacity.TakeLate:
 		return verdict == capacity.Take
 	default:
@@ -54,64 +55,66 @@
 	}
 }
 
-// openGateways returns the gateways of other regions that may be asked, by region.
-func (p *placer) openGateways(now time.Time, v *view, q query) map[string][]fleet.Gateway {
-	open := map[string][]fleet.Gateway{}
+// availableGateways returns the gateways of other regions to which a request may be forwarded, by region.
+func (p *placer) availableGateways(now time.Time, v *view, q query) map[string][]fleet.Gateway {
+	available := map[string][]fleet.Gateway{}
 	for _, g := range v.gateways {
 		if g.Region == p.cfg.Region || !g.Ready || !q.route.Allows(g.Region) || q.tried[g.Name] || q.tried[g.Region] ||
-			!p.regions.Allows(now, g.Region) || !p.gateways.Allows(now, g.Name) {
+			!p.regionBreakers.Allows(now, g.Region) || !p.gatewayBreakers.Allows(now, g.Name) {
 			continue
 		}
-		open[g.Region] = append(open[g.Region], g)
+		available[g.Region] = append(available[g.Region], g)
 	}
-	return open
+	return available
 }
 
-// roomsOf returns what regions told of the room for a service.
-func (p *placer) roomsOf(now time.Time, v *view, q query, open map[string][]fleet.Gateway) []capacity.Room {
-	var rooms []capacity.Room
-	for region := range open {
-		told := v.rooms[region]
-		if room, ok := told.services[q.service.Name]; ok {
-			room.Age = now.Sub(told.heard)
-			room.Sent = p.sentTo(now, region)
-			rooms = append(rooms, room)
+// capacitiesOf returns the reported capacities of regions for a service.
+func (p *placer) capacitiesOf(now time.Time, v *view, q query, available map[string][]fleet.Gateway) []capacity.Room {
+	var capacities []capacity.Room
+	for region := range available {
+		reported := v.capacities[region]
+		if rc, ok := reported.services[q.service.Name]; ok {
+			rc.Age = now.Sub(reported.reportedAt)
+			rc.Sent = p.tokensSentTo(now, region)
+			capacities = append(capacities, rc)
 		}
 	}
-	return rooms
+	return capacities
 }
 
-// blindRegion returns a region that has told nothing of its room lately, or false if all of them told that they are full.
-func (p *placer) blindRegion(now time.Time, v *view, q query, regions map[string][]fleet.Gateway) (string, bool) {
-	var silent []string
+// staleRegion returns a random region whose capacity is unknown or stale. It returns false if all regions have reported
+// recently, since none of them has free capacity then.
+func (p *placer) staleRegion(now time.Time, v *view, q query, regions map[string][]fleet.Gateway) (string, bool) {
+	var stale []string
 	for region := range regions {
-		room, told := v.rooms[region].services[q.service.Name]
-		room.Age = now.Sub(v.rooms[region].heard)
-		if !told || !room.Current() {
-			silent = append(silent, region)
+		rc, known := v.capacities[region].services[q.service.Name]
+		rc.Age = now.Sub(v.capacities[region].reportedAt)
+		if !known || !rc.Current() {
+			stale = append(stale, region)
 		}
 	}
-	if len(silent) == 0 {
+	if len(stale) == 0 {
 		return "", false
 	}
-	return silent[p.rng.IntN(len(silent))], true
+	return stale[p.rng.IntN(len(stale))], true
 }
 
-func (p *placer) sentTo(now time.Time, region string) int64 {
+// tokensSentTo returns the tokens sent to a region within regionSentWindow, and drops older entries.
+func (p *placer) tokensSentTo(now time.Time, region string) int64 {
 	var kept []sentTokens
 	var total int64
-	for _, s := range p.sent[region] {
-		if now.Sub(s.at) < regionSentMemory {
+	for _, s := range p.sentToRegion[region] {
+		if now.Sub(s.at) < regionSentWindow {
 			kept = append(kept, s)
 			total += s.tokens
 		}
 	}
-	p.sent[region] = kept
+	p.sentToRegion[region] = kept
 	return total
 }
 
-// room returns what this region's endpoints have left to give, by service.
-func (p *placer) room(now time.Time, v *view) []*wiregen.ServiceRoom {
+// localCapacity returns the free capacity of this region's endpoints by service.
+func (p *placer) localCapacity(now time.Time, v *view) []*wiregen.ServiceRoom {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []*wiregen.ServiceRoom
@@ -123,36 +126,38 @@
 		if service == nil {
 			continue
 		}
-		all = append(all, p.serviceRoom(now, v, service, endpoints))
+		all = append(all, p.serviceCapacity(now, v, service, endpoints))
 	}
 	return all
 }
 
 const permille = 1000
 
-// roomObjective is the expected time up to which an endpoint counts as having room, the longest objective of the
-// deployments' routes. Whether a request that crosses is on time is decided from the wait that is told along.
-const roomObjective = time.Second
+// capacityObjective is the expected time up to which an endpoint counts as having free capacity: the longest objective
+// of the deployments' routes. Whether a forwarded request is on time is decided from the reported waiting times.
+const capacityObjective = time.Second
 
-func (p *placer) serviceRoom(now time.Time, v *view, service *routes.Service, endpoints []fleet.Endpoint) *wiregen.ServiceRoom {
-	p.sweep(now)
-	speed := p.speedNow(now, v, service.Name)
+// serviceCapacity returns the free capacity of one service's endpoints. Endpoints that are cold, gone, failing or
+// behind an open breaker are left out.
+func (p *placer) serviceCapacity(now time.Time, v *view, service *routes.Service, endpoints []fleet.Endpoint) *wiregen.ServiceRoom {
+	p.expirePeers(now)
+	speed := p.currentSpeed(now, v, service.Name)
 	m := &wiregen.ServiceRoom{Service: service.Name}
 	for range capacity.Ranks {
-		m.WaitMillis = append(m.WaitMillis, noLocalEndpoint.Milliseconds())
+		m.WaitMillis = append(m.WaitMillis, noEndpointTime.Milliseconds())
 	}
 	busy := 0.0
 	for i := range endpoints {
 		e := &endpoints[i]
 		s := p.state(e)
-		if p.breakers.State(now, e.ID) != retry.Closed || p.isCold(e, s, now) || !e.GoneAt.IsZero() {
+		if p.endpointBreakers.State(now, e.ID) != retry.Closed || p.isCold(e, s, now) || !e.GoneAt.IsZero() {
 			continue
 		}
 		peers := p.peerSum(now, e.ID)
 		if s.outcomes.Plus(now, peers.outcomes).Failing(now) > capacity.FailingShare {
 			continue
 		}
-		c := capacity.Candidate{ID: e.ID, Outstanding: s.own.Plus(peers.outstanding), Health: s.health, Slots: e.Slots}
+		c := capacity.Candidate{ID: e.ID, Outstanding: s.outstanding.Plus(peers.outstanding), Health: s.health, Slots: e.Slots}
 		if service.Engine != nil {
 			c.Memory = service.Engine.CacheTokens
 		}
@@ -162,9 +167,9 @@
 		}
 		last := capacity.Expected(c, capacity.Work{Rank: capacity.Ranks - 1}, 0, speed)
 		m.Endpoints++
-		busy += s.busy(now, speed, peers)
-		if !last.Full && last.Wait < roomObjective {
-			tokens := int64(roomObjective-last.Wait) / int64(max(speed.Token, 1))
+		busy += s.prefillShare(now, speed, peers)
+		if !last.Full && last.Wait < capacityObjective {
+			tokens := int64(capacityObjective-last.Wait) / int64(max(speed.Token, 1))
 			if c.Memory > 0 {
 				tokens = min(tokens, c.Memory-c.Outstanding.HeldTokens)
 			}
@@ -175,31 +180,31 @@
 	return m
 }
 
-// roomsTold forgets what was sent to regions before they told their room again. One that was not heard of for a while, and
-// is now, is tried again; their names are returned.
-func (p *placer) roomsTold(now time.Time, v *view, rooms []*wiregen.RegionRoom) (regained []string) {
+// updateRegionCapacities drops the tokens sent to regions that a newer report already includes. It resets the breakers
+// of a region that reports again after its capacity was stale, and returns the names of those regions.
+func (p *placer) updateRegionCapacities(now time.Time, v *view, reports []*wiregen.RegionRoom) (regained []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range rooms {
-		before := capacity.Room{Age: now.Sub(v.rooms[m.GetRegion()].heard)}
+	for _, m := range reports {
+		before := capacity.Room{Age: now.Sub(v.capacities[m.GetRegion()].reportedAt)}
 		if now := (capacity.Room{Age: time.Duration(m.GetAgeMillis()) * time.Millisecond}); !before.Current() && now.Current() {
 			regained = append(regained, m.GetRegion())
-			p.regions.Forget(m.GetRegion())
+			p.regionBreakers.Forget(m.GetRegion())
 			for _, g := range v.gateways {
 				if g.Region == m.GetRegion() {
-					p.gateways.Forget(g.Name)
+					p.gatewayBreakers.Forget(g.Name)
 				}
 			}
 		}
-		// A request that crossed just before the room was told is not in it yet.
-		told := now.Add(-time.Duration(m.GetAgeMillis())*time.Millisecond - p.cfg.Detour)
+		// A request that was forwarded just before the report was made is not included in it yet.
+		reflectedUntil := now.Add(-time.Duration(m.GetAgeMillis())*time.Millisecond - p.cfg.Detour)
 		var kept []sentTokens
-		for _, s := range p.sent[m.GetRegion()] {
-			if s.at.After(told) {
+		for _, s := range p.sentToRegion[m.GetRegion()] {
+			if s.at.After(reflectedUntil) {
 				kept = append(kept, s)
 			}
 		}
-		p.sent[m.GetRegion()] = kept
+		p.sentToRegion[m.GetRegion()] = kept
 	}
 	return regained
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -14,58 +14,58 @@
 	"arbutusreel/problem"
 )
 
-// relay is the caller's side of a stream, which may be fed by several runs one after the other.
-type relay struct {
+// callerStream is the response stream to the caller, which may be fed by several runs one after the other.
+type callerStream struct {
 	w http.ResponseWriter
-	// begun says that the header and a first event have gone out.
-	begun bool
-	// last is the number of the last event that has gone out.
-	last int64
-	// lastAt is when it went out, and pause the longest time between two events.
+	// started reports whether the header and a first event have been sent.
+	started bool
+	// lastEvent is the ID of the last event sent.
+	lastEvent int64
+	// lastAt is the time when it was sent, and pause the longest time between two events.
 	lastAt time.Time
 	pause  time.Duration
 }
 
-// streaming reports whether the caller has the beginning of a stream, after which no other answer can be given.
-func (j *job) streaming() bool { return j.stream != nil && j.stream.begun }
+// streaming reports whether part of a stream has been sent to the caller, after which no other answer is possible.
+func (j *job) streaming() bool { return j.stream != nil && j.stream.started }
 
-// lastEvent returns the last event that the caller has.
+// lastEvent returns the ID of the last event that the caller has received.
 func (j *job) lastEvent() int64 {
 	if j.streaming() {
-		return j.stream.last
+		return j.stream.lastEvent
 	}
 	return j.call.LastEvent
 }
 
-// carryStream passes events on as they come. A stream that breaks may go on at another endpoint. Silence after the first
-// event breaks none: an engine that lacks memory puts a stream off and goes on with it later.
-func (j *job) carryStream(ctx context.Context, answer *exchange.Answer, f *flight, patience *patience) (ending, next) {
-	defer patience.stop()
+// relayStream passes events on as they arrive. A stream that breaks may be resumed at another endpoint. There is no
+// timeout between events: an engine that runs out of memory preempts a stream and continues it later.
+func (j *job) relayStream(ctx context.Context, answer *exchange.Answer, a *attempt, timer *firstTimer) (ending, nextStep) {
+	defer timer.stop()
 	if j.stream == nil {
-		j.stream = &relay{w: j.w, last: j.call.LastEvent}
+		j.stream = &callerStream{w: j.w, lastEvent: j.call.LastEvent}
 	}
-	events := newEvents(answer)
-	resumed := j.stream.begun
+	events := newEventReader(answer)
+	resumed := j.stream.started
 	for {
 		e, err := events.next()
 		if errors.Is(err, io.EOF) {
 			return j.endStream(answer.Header, answer.Status)
 		}
 		if err == nil {
-			err = j.stream.follows(e, resumed)
+			err = j.stream.checkOrder(e, resumed)
 		}
 		if err != nil {
-			return j.breakStream(ctx, err)
+			return j.recordBrokenStream(ctx, err)
 		}
 		now := time.Now()
-		if f != nil {
-			f.first(now)
+		if a != nil {
+			a.recordFirst(now)
 		}
 		if j.firstAt.IsZero() {
 			j.firstAt = now
 		}
-		patience.stop()
-		if err := j.pass(e, answer); err != nil {
+		timer.stop()
+		if err := j.writeEvent(e, answer); err != nil {
 			j.lastErr = err
 			j.log("callerLeft").Err(err).Msg("served")
 			j.g.cfg.Metrics.Count("callerLeft")
@@ -74,27 +74,27 @@
 	}
 }
 
-// follows checks that an event of a resumed stream is the one after the last that has gone out.
-func (s *relay) follows(e event, resumed bool) error {
-	if resumed && e.id >= 0 && s.last >= 0 && e.id != s.last+1 {
-		return &EventOrderError{Want: s.last + 1, Got: e.id}
+// checkOrder returns an error if an event of a resumed stream does not directly follow the last one sent.
+func (s *callerStream) checkOrder(e event, resumed bool) error {
+	if resumed && e.id >= 0 && s.lastEvent >= 0 && e.id != s.lastEvent+1 {
+		return &EventOrderError{Want: s.lastEvent + 1, Got: e.id}
 	}
 	return nil
 }
 
-// pass sends one event to the caller.
-func (j *job) pass(e event, answer *exchange.Answer) error {
+// writeEvent sends one event to the caller.
+func (j *job) writeEvent(e event, answer *exchange.Answer) error {
 	s := j.stream
-	if !s.begun {
-		giveHeader(s.w.Header(), answer.Header)
+	if !s.started {
+		copyAnswerHeader(s.w.Header(), answer.Header)
 		s.w.WriteHeader(answer.Status)
-		s.begun = true
+		s.started = true
 	}
-	if _, err := s.w.Write(e.text); err != nil {
+	if _, err := s.w.Write(e.raw); err != nil {
 		return &CallerError{Cause: err}
 	}
 	if e.id >= 0 {
-		s.last = e.id
+		s.lastEvent = e.id
 	}
 	now := time.Now()
 	if !s.lastAt.IsZero() {
@@ -107,81 +107,83 @@
 	return nil
 }
 
-// endStream ends a whole stream.
-func (j *job) endStream(header http.Header, status int) (ending, next) {
-	if !j.stream.begun {
-		giveHeader(j.w.Header(), header)
+// endStream completes a stream.
+func (j *job) endStream(header http.Header, status int) (ending, nextStep) {
+	if !j.stream.started {
+		copyAnswerHeader(j.w.Header(), header)
 		j.w.WriteHeader(status)
-		j.stream.begun = true
+		j.stream.started = true
 	}
 	if j.firstAt.IsZero() {
 		j.firstAt = time.Now()
 	}
-	j.g.times.note(j.route.Kind, j.received, j.firstAt)
+	j.g.latencies.record(j.route.Kind, j.received, j.firstAt)
 	j.g.cfg.Metrics.Count("answered")
-	j.log("answered").Int("status", status).Int64("lastEvent", j.stream.last).Dur("longestPause", j.stream.pause).Msg("served")
+	j.log("answered").Int("status", status).Int64("lastEvent", j.stream.lastEvent).Dur("longestPause", j.stream.pause).Msg("served")
 	return succeeded, answered
 }
 
-// breakStream notes that a stream broke off.
-func (j *job) breakStream(ctx context.Context, err error) (ending, next) {
-	broken := &BrokenStreamError{LastEvent: j.stream.last, Cause: err}
+// recordBrokenStream records that a stream broke off.
+func (j *job) recordBrokenStream(ctx context.Context, err error) (ending, nextStep) {
+	broken := &BrokenStreamError{LastEvent: j.stream.lastEvent, Cause: err}
 	how := j.endingOf(ctx, err)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		how = abandoned
 	}
-	return how, j.failed(ctx, broken, problem.Ran)
+	return how, j.recordFailure(ctx, broken, problem.Ran)
 }
 
-// event is one event of a stream as the endpoint wrote it.
+// event is one event of a stream, byte for byte as the endpoint sent it.
 type event struct {
 	// id is negative if the event has none.
-	id   int64
-	text []byte
+	id  int64
+	raw []byte
 }
 
-// events reads whole events.
-type events struct {
+// eventReader splits a stream into events.
+type eventReader struct {
 	r *bufio.Reader
 }
 
-// eventBuffer holds a usual event.
-const eventBuffer = 2 << 10
+// eventBufferBytes is enough for a usual event.
+const eventBufferBytes = 2 << 10
 
-func newEvents(r io.Reader) *events { return &events{r: bufio.NewReaderSize(r, eventBuffer)} }
+func newEventReader(r io.Reader) *eventReader {
+	return &eventReader{r: bufio.NewReaderSize(r, eventBufferBytes)}
+}
 
-// next returns the next whole event. It returns io.EOF at the end of the stream, and io.ErrUnexpectedEOF if the stream
-// ends within an event.
-func (s *events) next() (event, error) {
+// next returns the next complete event. It returns io.EOF at the end of the stream, and io.ErrUnexpectedEOF if the
+// stream ends within an event.
+func (s *eventReader) next() (event, error) {
 	e := event{id: NoEvent}
 	for {
 		line, err := s.r.ReadSlice('\n')
-		e.text = append(e.text, line...)
+		e.raw = append(e.raw, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if errors.Is(err, io.EOF) && len(e.text) > 0 {
+		if errors.Is(err, io.EOF) && len(e.raw) > 0 {
 			return event{}, io.ErrUnexpectedEOF
 		}
 		if err != nil {
 			return event{}, err
 		}
-		if blank := bytes.TrimRight(line, "\r\n"); len(blank) == 0 && endsLine(e.text, len(line)) {
+		if blank := bytes.TrimRight(line, "\r\n"); len(blank) == 0 && endsLine(e.raw, len(line)) {
 			return e, nil
 		}
-		if id, ok := eventID(e.text); ok {
+		if id, ok := eventID(e.raw); ok {
 			e.id = id
 		}
 	}
 }
 
-// endsLine reports whether the last n bytes of text, a line end, follow another line end.
+// endsLine reports whether the last n bytes of text, a line end, form an empty line.
 func endsLine(text []byte, n int) bool {
 	before := text[:len(text)-n]
 	return len(before) == 0 || before[len(before)-1] == '\n'
 }
 
-// eventID returns the number in the last line of text if that names the event.
+// eventID returns the numeric ID in the last line of text, and whether that line is an id field.
 func eventID(text []byte) (int64, bool) {
 	line := bytes.TrimRight(text, "\r\n")
 	if i := bytes.LastIndexByte(line, '\n'); i >= 0 {
--- a/gateway/replay_test.go
+++ b/gateway/replay_test.go
@@ -13,20 +13,21 @@
 	"arbutusreel/routes"
 )
 
-// The replay of this file offers a region more than its engines can serve, in virtual time: gateways decide as they do in
-// service, engines batch as the deployments' engines do, and callers leave a stream that stays silent.
+// The simulation in this file offers a region more load than its engines can serve, in virtual time: the placers decide
+// as they do in production, the engines batch as those of the deployments do, and callers leave a stream that stays
+// silent.
 
 const (
 	replayEngines  = 8
 	replaySlots    = 32
 	replayGateways = 4
 	replaySeed     = 1
-	// replayOverload is the offered load of the peak as a multiple of what the engines can serve: at a rate of 130 requests
-	// a second of this mix all of them read and decode without a pause.
+	// replayOverload is the offered load as a multiple of the engines' capacity: at 130 requests a second of this mix,
+	// all of them prefill and decode without a pause.
 	replayOverload = 1.4
 	replayRate     = 130 * replayOverload
 	replayTime     = 12 * time.Second
-	// replayReports is how often the gateways tell each other their loads.
+	// replayReports is the interval of the load reports between gateways.
 	replayReports = 100 * time.Millisecond
 )
 
@@ -58,7 +59,7 @@
 	arrived      time.Duration
 	firstAt      time.Duration
 	gateway      int
-	flight       *flight
+	attempt      *attempt
 	engine       *replayEngine
 	done         bool
 }
@@ -67,8 +68,9 @@
 	return cmp.Or(cmp.Compare(r.urgency, other.urgency), cmp.Compare(r.arrived, other.arrived))
 }
 
-// replayEngine batches requests: it admits the most urgent first, puts the least urgent back for them, and in each step
-// reads a chunk of prompts and makes a token of each request that is read.
+// replayEngine simulates continuous batching: it admits requests by priority, preempts the running one of the lowest
+// priority for them, and in each step prefills a chunk of prompts and generates a token for each request whose prompt
+// has been read.
 type replayEngine struct {
 	running, waiting []*replayRequest
 	next             time.Duration
@@ -92,7 +94,7 @@
 	}
 }
 
-// step returns the requests that got their first token and those that ended, and how long the step took.
+// step returns the requests that got their first token, those that ended, and the duration of the step.
 func (e *replayEngine) step() (first, ended []*replayRequest, took time.Duration) {
 	const chunk, tokensPerMilli, stepMillis, slotMillis = 1024, 112, 3.23, 0.0483
 	e.admit()
@@ -120,12 +122,12 @@
 	e.running, e.waiting = slices.DeleteFunc(e.running, is), slices.DeleteFunc(e.waiting, is)
 }
 
-// replayResult counts what became of the requests of a kind.
+// replayResult counts the requests of a kind by how they ended.
 type replayResult struct {
 	asked, onTime, late, refused, left int
 }
 
-// replay is the state of one replay.
+// replay is the state of one simulation.
 type replay struct {
 	rng      *rand.Rand
 	placers  []*placer
@@ -228,8 +230,8 @@
 	first, ended, took := e.step()
 	e.next = now + took
 	for _, r := range first {
-		if r.firstAt = e.next; r.flight != nil {
-			r.flight.first(replayStart.Add(e.next))
+		if r.firstAt = e.next; r.attempt != nil {
+			r.attempt.recordFirst(replayStart.Add(e.next))
 		}
 	}
 	for _, r := range ended {
@@ -243,7 +245,8 @@
 	}
 }
 
-// abandon lets callers leave whose stream stays silent for four times the objective, or whose time is over.
+// abandon ends the requests of callers that have had no first token for four times the objective, or whose time is
+// over.
 func (p *replay) abandon(now time.Duration) {
 	for _, r := range p.inFlight {
 		waited := now - r.arrived
@@ -258,8 +261,8 @@
 func (p *replay) end(r *replayRequest, now time.Duration, how ending) {
 	r.done = true
 	r.engine.remove(r)
-	if r.flight != nil {
-		r.flight.end(replayStart.Add(now), how)
+	if r.attempt != nil {
+		r.attempt.end(replayStart.Add(now), how)
 	}
 }
 
@@ -268,13 +271,13 @@
 		m := reportOf(from, now)
 		for _, to := range p.placers {
 			if to != from {
-				to.peerTold(now, m, true)
+				to.updatePeer(now, m, true)
 			}
 		}
 	}
 }
 
-// worth returns the share of the worth that was served on time.
+// worth returns the share of the offered worth that was served on time.
 func (p *replay) worth() float64 {
 	var earned, owed float64
 	for _, kind := range replayKinds() {
@@ -284,7 +287,7 @@
 	return earned / owed
 }
 
-// byPlacer decides as gateways do.
+// byPlacer places requests as gateways do.
 func byPlacer(p *replay, r *replayRequest, now time.Time) *replayEngine {
 	route := p.table.Match(testHost, "/"+r.kind.name+"/x")
 	q := query{
@@ -297,11 +300,11 @@
 		return nil
 	}
 	r.urgency = at.rank
-	r.flight = p.placers[r.gateway].begin(now, "model", q.work, at)
+	r.attempt = p.placers[r.gateway].begin(now, "model", q.work, at)
 	return p.engines[at.endpoint.ID]
 }
 
-// byOutstanding sends each request to the engine with the fewest, first come first served.
+// byOutstanding sends each request to the engine with the fewest requests, first come first served.
 func byOutstanding(p *replay, _ *replayRequest, _ time.Time) *replayEngine {
 	var best *replayEngine
 	for _, e := range p.view.endpoints["model"] {
@@ -312,9 +315,9 @@
 	return best
 }
 
-// TestReplayOverload offers 1.4 times what a region's engines can serve: more worth is served on time than by sending to
-// the engine with the fewest requests, no kind is served less often than a less urgent one, and few callers wait in vain
-// instead of being refused at once.
+// TestReplayOverload offers 1.4 times what a region's engines can serve: more worth is served on time than by sending
+// to the engine with the fewest requests, no kind is served less often than one of lower priority, and few callers wait
+// in vain instead of being refused at once.
 func TestReplayOverload(t *testing.T) {
 	placed, plain := newReplay(t, byPlacer), newReplay(t, byOutstanding)
 	placed.run()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -14,85 +14,87 @@
 )
 
 const (
-	// maxPlaces bounds the places that one request is sent to, those that did not run it included.
-	maxPlaces = 4
-	// leastTimeLeft is the time below which a request is not sent any more.
-	leastTimeLeft = 20 * time.Millisecond
+	// maxAttempts bounds the attempts of one request, including those at endpoints that did not run it.
+	maxAttempts = 4
+	// minTimeLeft is the remaining time below which a request is not sent.
+	minTimeLeft = 20 * time.Millisecond
 )
 
-// next tells what happens to a request after an attempt.
-type next int
+// nextStep is what follows an attempt.
+type nextStep int
 
 const (
 	// answered: the caller has its answer.
-	answered next = iota
-	// again: another place is tried if there is one.
-	again
-	// broken: the caller has a part of its answer, and the rest cannot be had.
-	broken
+	answered nextStep = iota
+	// tryNext: another endpoint or region is tried if there is one.
+	tryNext
+	// truncated: the caller has part of an answer whose rest is not available.
+	truncated
 )
 
-// run places the request until it is answered.
+// run attempts the request until it is answered.
 func (j *job) run() {
-	j.g.placer.firstTry(j.received, j.view, j.service.Name)
+	j.g.placer.recordFirstTry(j.received, j.view, j.service.Name)
 	for {
 		now := time.Now()
 		if v := j.g.view.Load(); v != j.view && v.table != nil && !j.match(v) {
 			j.giveUp(problem.UnknownRoute, "the route was removed while the request was in progress")
 			return
 		}
-		if j.ctx.Err() != nil || j.deadline.Sub(now) < leastTimeLeft {
-			j.giveUp(problem.PatienceExceeded, "the time of the request is over")
+		if j.ctx.Err() != nil || j.deadline.Sub(now) < minTimeLeft {
+			j.giveUp(problem.PatienceExceeded, "the deadline of the request has passed")
 			return
 		}
-		if reason, ok := j.mayRepeat(now); !ok {
+		if reason, ok := j.mayRetry(now); !ok {
 			j.giveUp(problem.EndpointFailed, reason)
 			return
 		}
-		at := j.g.placer.decide(now, j.view, j.query(now))
-		j.place = at
-		if at.verdict == capacity.Refuse {
-			j.refusePlace(at)
+		d := j.g.placer.decide(now, j.view, j.query(now))
+		j.decision = d
+		if d.verdict == capacity.Refuse {
+			j.refusePlacement(d)
 			return
 		}
 		j.attempts++
-		var step next
-		if at.region != "" {
-			step = j.forward(at)
+		var step nextStep
+		if d.region != "" {
+			step = j.forward(d)
 		} else {
-			step = j.send(at)
+			step = j.send(d)
 		}
-		if !j.goesOn(step) {
+		if !j.shouldContinue(step) {
 			return
 		}
 	}
 }
 
-// goesOn reports whether another place is tried. An answer that broke off must not look complete: its connection is cut.
-func (j *job) goesOn(step next) bool {
-	if step == broken {
+// shouldContinue reports whether another attempt follows. A truncated answer must not look complete, so that its
+// connection is aborted.
+func (j *job) shouldContinue(step nextStep) bool {
+	if step == truncated {
 		panic(http.ErrAbortHandler)
 	}
-	return step == again
+	return step == tryNext
 }
 
-// query returns what the placer has to know of the request.
+// query returns the description of the request for the placer.
 func (j *job) query(now time.Time) query {
 	work := j.call.Work
 	work.Bytes = int64(len(j.body)) + answerBytes(j.service, work.OutputTokens)
 	return query{
 		route: j.route, service: j.service, work: work, asked: j.asked(now), tried: j.tried,
-		forwarded: j.forwarded, must: j.streaming(),
+		forwarded: j.forwarded, mustPlace: j.streaming(),
 	}
 }
 
 const (
-	// plainAnswerBytes is the usual size of a plain answer, and eventBytes that of an event of a stream with its framing.
+	// plainAnswerBytes is the usual size of an answer that is not a stream, and eventBytes that of a stream's event
+	// with its framing.
 	plainAnswerBytes = 1 << 10
 	eventBytes       = 128
 )
 
-// answerBytes returns the expected size of an answer with so many output tokens.
+// answerBytes returns the expected size of an answer with the given number of output tokens.
 func answerBytes(s *routes.Service, outputTokens int64) int64 {
 	if s.Engine == nil || s.Engine.EventTokens <= 0 {
 		return plainAnswerBytes
@@ -100,54 +102,54 @@
 	return outputTokens / int64(s.Engine.EventTokens) * eventBytes
 }
 
-// mayRepeat reports whether the request may be sent once more.
-func (j *job) mayRepeat(now time.Time) (reason string, ok bool) {
+// mayRetry reports whether another attempt is allowed, and the reason if not.
+func (j *job) mayRetry(now time.Time) (reason string, ok bool) {
 	switch {
 	case j.attempts == 0:
 		return "", true
-	case j.attempts >= maxPlaces:
+	case j.attempts >= maxAttempts:
 		return "too many attempts failed", false
 	case j.runs > 0 && !j.route.Repeatable():
 		return "the request may have run and must not run again", false
 	case j.runs >= j.maxRuns():
 		return "the endpoints that it may run on have failed", false
-	case j.sends > 0 && !j.g.placer.repeat(now, j.view, j.service.Name):
-		return "the retry budget is spent", false
+	case j.sends > 0 && !j.g.placer.takeRetry(now, j.view, j.service.Name):
+		return "the retry budget is exhausted", false
 	default:
 		return "", true
 	}
 }
 
-// refusePlace answers a request for which there is no place.
-func (j *job) refusePlace(at place) {
-	if j.held != nil && !j.streaming() {
-		j.goesOn(j.answerHeld())
+// refusePlacement answers a request that the placer has refused.
+func (j *job) refusePlacement(d decision) {
+	if j.bufferedError != nil && !j.streaming() {
+		j.shouldContinue(j.writeBufferedError())
 		return
 	}
 	if j.outcome != problem.NotRun {
-		j.giveUp(problem.EndpointFailed, at.reason)
+		j.giveUp(problem.EndpointFailed, d.reason)
 		return
 	}
 	code := problem.NoCapacity
-	if at.reason == reasonNotHome {
+	if d.reason == reasonNotAllowedInRegion {
 		code = problem.ResidencyRefused
 	}
-	j.refuse(problem.New(code, http.StatusServiceUnavailable, "%s: expected wait %v", at.reason, at.expected.Round(time.Millisecond)).WithRetryAfter(at.retryAfter))
+	j.refuse(problem.New(code, http.StatusServiceUnavailable, "%s: expected wait %v", d.reason, d.expected.Round(time.Millisecond)).WithRetryAfter(d.retryAfter))
 }
 
-// failedRetryAfter is when a caller comes back whose request surely has not run, after the endpoints that it was sent to
-// failed.
+// failedRetryAfter is the retry delay given to a caller whose request certainly has not run, after the endpoints it was
+// sent to failed.
 const failedRetryAfter = 200 * time.Millisecond
 
-// giveUp answers a request that is not tried again.
+// giveUp answers a request that is not retried.
 func (j *job) giveUp(code problem.Code, reason string) {
 	if errors.Is(j.r.Context().Err(), context.Canceled) {
 		j.log(string(j.outcome)).Err(j.lastErr).Msg("callerLeft")
 		j.g.cfg.Metrics.Count("callerLeft")
 		panic(http.ErrAbortHandler)
 	}
-	if j.held != nil && !j.streaming() {
-		j.goesOn(j.answerHeld())
+	if j.bufferedError != nil && !j.streaming() {
+		j.shouldContinue(j.writeBufferedError())
 		return
 	}
 	p := problem.New(code, http.StatusBadGateway, "%s", reason).WithOutcome(j.outcome)
@@ -161,13 +163,13 @@
 	j.refuse(p)
 }
 
-// log begins the line of a decision on this request: its outcome, the place with what decided it, and the age of the view.
+// log starts a log line about this request with its outcome, the decision and its terms, and the age of the view.
 func (j *job) log(outcome string) *zerolog.Event {
 	e := j.g.log.Info().Str("request", j.call.ID).Str("outcome", outcome).Int("attempts", j.attempts).Int("runs", j.runs).
 		Dur("took", time.Since(j.received)).
 		Int64("prompt", j.call.Work.PromptTokens).Int64("output", j.call.Work.OutputTokens).
-		Int64("routeVersion", j.view.version()).Dur("viewAge", time.Since(j.view.heard)).Bool("current", j.view.current)
-	e = j.place.log(e)
+		Int64("routeVersion", j.view.version()).Dur("viewAge", time.Since(j.view.updatedAt)).Bool("current", j.view.current)
+	e = j.decision.log(e)
 	if j.route != nil {
 		e = e.Str("route", j.route.Name).Str("kind", j.route.Kind.String())
 	}
@@ -180,30 +182,32 @@
 	return e
 }
 
-// log adds a place and what decided it to a line.
-func (at place) log(e *zerolog.Event) *zerolog.Event {
-	e = e.Dur("expected", at.expected).Str("verdict", at.verdict.String()).Int("candidates", at.candidates).
-		Int64("unread", at.unread).Bool("favourite", at.favourite).Bool("full", at.full).Str("fetchFrom", at.fetchFrom).
-		Int64("queuedTokens", at.backlog.PromptTokens.Before(capacity.Ranks-1)).Int("outstanding", at.backlog.Requests).
-		Str("endpoint", at.endpoint.ID)
-	if at.region != "" {
-		e = e.Str("toRegion", at.region).Str("gateway", at.gateway.Name)
+// log adds the decision and its terms to a log line.
+func (d decision) log(e *zerolog.Event) *zerolog.Event {
+	e = e.Dur("expected", d.expected).Str("verdict", d.verdict.String()).Int("candidates", d.candidates).
+		Int64("unread", d.uncachedTokens).Bool("favourite", d.affinity).Bool("full", d.full).Str("fetchFrom", d.fetchFrom).
+		Int64("queuedTokens", d.backlog.PromptTokens.Before(capacity.Ranks-1)).Int("outstanding", d.backlog.Requests).
+		Str("endpoint", d.endpoint.ID)
+	if d.region != "" {
+		e = e.Str("toRegion", d.region).Str("gateway", d.gateway.Name)
 	}
 	return e
 }
 
-// doubt notes that endpoints may have run the request, or have.
-func (j *job) doubt(o problem.Outcome) {
+// recordOutcome counts the runs of an attempt that may have run the request, and keeps the worst outcome.
+func (j *job) recordOutcome(o problem.Outcome) {
 	if o == problem.NotRun {
 		return
 	}
-	j.runs += max(j.charge, 1)
+	j.runs += max(j.chargedRuns, 1)
 	if j.outcome != problem.Ran {
 		j.outcome = o
 	}
 }
 
-// urgency ranks the request at a model engine: by the route's priority, and behind everything if it will be late.
+// urgency returns the request's scheduling priority at a model engine, where lower goes first: a resumed stream goes
+// before all others, then the route's priority decides, and a request that will be late goes last. It is negative for
+// services without engines.
 func (j *job) urgency(v capacity.Verdict) int {
 	const (
 		mostUrgent  = 1
@@ -224,8 +228,8 @@
 
 // maxRuns returns the number of endpoints that may run the request.
 func (j *job) maxRuns() int {
-	if j.allowed > 0 {
-		return min(j.allowed, j.route.MaxAttempts)
+	if j.allowedRuns > 0 {
+		return min(j.allowedRuns, j.route.MaxAttempts)
 	}
 	return j.route.MaxAttempts
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -18,103 +18,105 @@
 )
 
 const (
-	// heldBytes bounds the part of an answer that is held, so that another endpoint may be tried if it breaks off; a longer
-	// one is passed on as it comes.
-	heldBytes = 1 << 20
-	// forwardMargin is taken from the time left that another gateway is told, so that its answer is in time here.
+	// maxBufferedBytes bounds the part of an answer that is buffered, so that the request can be retried at another
+	// endpoint if the answer breaks off. The rest of a longer answer is streamed.
+	maxBufferedBytes = 1 << 20
+	// forwardMargin is subtracted from the time left that is sent to another gateway, so that its answer arrives here
+	// in time.
 	forwardMargin = 90 * time.Millisecond
-	// leastFirstPatience and firstPatienceFactor bound the wait for a first piece before another endpoint is tried: that
-	// many times what was expected.
-	leastFirstPatience  = 900 * time.Millisecond
-	firstPatienceFactor = 3
+	// minFirstTimeout and firstTimeoutFactor determine the timeout for the first piece of an answer, after which
+	// another endpoint is tried: that multiple of the expected time, and no less than the minimum or one and a half
+	// times the route's objective.
+	minFirstTimeout    = 900 * time.Millisecond
+	firstTimeoutFactor = 3
 )
 
-// plain is an answer that was received whole, or the beginning of a long one.
-type plain struct {
+// bufferedAnswer is an answer that was received in full, or the beginning of a long one.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest is what follows the body of a long answer; nil if the body is whole.
+	// rest reads what follows the body of a long answer; nil if the body is complete.
 	rest io.Reader
 }
 
 // send sends the request to an endpoint of this region.
-func (j *job) send(at place) next {
+func (j *job) send(d decision) nextStep {
 	g := j.g
 	now := time.Now()
-	j.tried[at.endpoint.ID] = true
-	j.charge = 1
-	f := g.placer.begin(now, j.service.Name, j.call.Work, at)
+	j.tried[d.endpoint.ID] = true
+	j.chargedRuns = 1
+	a := g.placer.begin(now, j.service.Name, j.call.Work, d)
 	h := copyHeader(j.r.Header)
-	g.cfg.Dialect.Prepare(h, Order{Instance: at.endpoint.ID, FetchFrom: at.fetchFrom, Left: j.deadline.Sub(now), Urgency: j.urgency(at.verdict), LastEvent: j.lastEvent()})
+	g.cfg.Dialect.Prepare(h, Order{Instance: d.endpoint.ID, FetchFrom: d.fetchFrom, Left: j.deadline.Sub(now), Urgency: j.urgency(d.verdict), LastEvent: j.lastEvent()})
 	ctx, cancel := context.WithCancelCause(j.ctx)
 	defer cancel(nil)
-	patience := j.firstPatience(at, cancel)
-	answer, err := g.pool.Send(ctx, at.endpoint.Address, &exchange.Request{
+	timer := j.startFirstTimer(d, cancel)
+	answer, err := g.pool.Send(ctx, d.endpoint.Address, &exchange.Request{
 		Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body, Repeatable: j.route.Repeatable(),
 		Owns: func(a *http.Response, fresh bool) bool {
 			return g.cfg.Dialect.Owns(a.Header, a.StatusCode, j.call.ID, fresh)
 		},
 	})
 	if err != nil {
-		patience.stop()
-		f.end(time.Now(), j.endingOf(ctx, err))
-		return j.failed(ctx, err, exchange.Outcome(err))
+		timer.stop()
+		a.end(time.Now(), j.endingOf(ctx, err))
+		return j.recordFailure(ctx, err, exchange.Outcome(err))
 	}
 	defer answer.Close()
 	j.sends++
 	verdict := g.cfg.Dialect.Verdict(answer.Header, answer.Status)
 	if verdict.ColdFor > 0 {
-		g.placer.tellCold(time.Now(), at.endpoint, verdict.ColdFor)
+		g.placer.recordCold(time.Now(), d.endpoint, verdict.ColdFor)
 	}
 	if verdict.Rejected {
-		patience.stop()
-		// A short body is read so that the connection can be kept.
+		timer.stop()
+		// A short body is read to its end so that the connection can be reused.
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxRejectionBytes))
-		f.end(time.Now(), rejected)
+		a.end(time.Now(), rejected)
 		j.log("rejected").Int("status", answer.Status).Msg("attemptFailed")
-		return again
+		return tryNext
 	}
-	how, step := j.carry(ctx, answer, verdict, f, patience)
-	f.end(time.Now(), how)
+	how, step := j.relayAnswer(ctx, answer, verdict, a, timer)
+	a.end(time.Now(), how)
 	return step
 }
 
-// maxRejectionBytes bounds the body of a rejection that is read.
+// maxRejectionBytes bounds the part of a rejection's body that is read.
 const maxRejectionBytes = 4 << 10
 
-// firstPatience cancels the attempt of a request that may be repeated if its first piece does not come in time and
-// another endpoint would bring it on time from then on; until one would, the attempt goes on. A request at another
-// gateway is left to that gateway's patience.
-func (j *job) firstPatience(at place, cancel context.CancelCauseFunc) *patience {
-	limit := max(leastFirstPatience, firstPatienceFactor*at.expected, 3*j.route.Objective/2)
-	p := &patience{}
-	if !j.route.Repeatable() || j.streaming() || j.runs+j.charge >= j.maxRuns() {
-		return p
+// startFirstTimer starts a timer that cancels the attempt of a repeatable request if its first piece does not arrive in
+// time and another endpoint is expected to deliver it on time from then on. Until there is one, the attempt continues
+// and the timer is rearmed. The next gateway applies its own timeout to a forwarded request.
+func (j *job) startFirstTimer(d decision, cancel context.CancelCauseFunc) *firstTimer {
+	limit := max(minFirstTimeout, firstTimeoutFactor*d.expected, 3*j.route.Objective/2)
+	timer := &firstTimer{}
+	if !j.route.Repeatable() || j.streaming() || j.runs+j.chargedRuns >= j.maxRuns() {
+		return timer
 	}
 	q := j.query(time.Now())
 	q.tried = maps.Clone(j.tried)
 	q.asked.Objective = j.route.Objective
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timer = time.AfterFunc(limit, func() {
-		if j.g.placer.hasRoom(time.Now(), j.g.view.Load(), q) {
+	timer.mu.Lock()
+	defer timer.mu.Unlock()
+	timer.timer = time.AfterFunc(limit, func() {
+		if j.g.placer.canServeOnTime(time.Now(), j.g.view.Load(), q) {
 			cancel(&SilentStreamError{Limit: limit})
 			return
 		}
-		p.again(limit / 2)
+		timer.rearm(limit / 2)
 	})
-	return p
+	return timer
 }
 
-// patience is a timer that may be armed again by its own function until it is stopped.
-type patience struct {
+// firstTimer is a timer that its own function may rearm until it is stopped.
+type firstTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-func (p *patience) again(d time.Duration) {
+func (p *firstTimer) rearm(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.stopped {
@@ -122,7 +124,7 @@
 	}
 }
 
-func (p *patience) stop() {
+func (p *firstTimer) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopped = true
@@ -131,7 +133,7 @@
 	}
 }
 
-// endingOf tells how an attempt ended whose exchange failed.
+// endingOf returns how an attempt ended whose exchange failed with err.
 func (j *job) endingOf(ctx context.Context, err error) ending {
 	var silent *SilentStreamError
 	var failure *exchange.Error
@@ -147,8 +149,8 @@
 	}
 }
 
-// failed notes a failed attempt and returns what is next.
-func (j *job) failed(ctx context.Context, err error, o problem.Outcome) next {
+// recordFailure records a failed attempt and returns the next step.
+func (j *job) recordFailure(ctx context.Context, err error, o problem.Outcome) nextStep {
 	j.lastErr = err
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		j.lastErr = errors.Join(cause, err)
@@ -157,90 +159,91 @@
 	if !errors.As(err, &failure) || failure.Stage != exchange.Connecting {
 		j.sends++
 	}
-	j.doubt(o)
+	j.recordOutcome(o)
 	j.log(string(o)).Err(j.lastErr).Msg("attemptFailed")
-	return again
+	return tryNext
 }
 
-// carry passes an answer on to the caller.
-func (j *job) carry(ctx context.Context, answer *exchange.Answer, verdict Verdict, f *flight, patience *patience) (ending, next) {
+// relayAnswer passes an answer on to the caller.
+func (j *job) relayAnswer(ctx context.Context, answer *exchange.Answer, verdict Verdict, a *attempt, timer *firstTimer) (ending, nextStep) {
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if success && (!verdict.Signed || answer.Header.Get("Content-Encoding") != "") {
-		return failed, j.failed(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Unknown)
+		return failed, j.recordFailure(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Unknown)
 	}
-	if success && j.route.Kind == routes.Stream && isEvents(answer.Header) {
-		return j.carryStream(ctx, answer, f, patience)
+	if success && j.route.Kind == routes.Stream && isEventStream(answer.Header) {
+		return j.relayStream(ctx, answer, a, timer)
 	}
-	defer patience.stop()
-	whole, err := readPlain(answer)
+	defer timer.stop()
+	buffered, err := readAnswer(answer)
 	if err != nil {
-		return j.endingOf(ctx, err), j.failed(ctx, err, problem.Unknown)
+		return j.endingOf(ctx, err), j.recordFailure(ctx, err, problem.Unknown)
 	}
-	if f != nil {
-		f.first(time.Now())
+	if a != nil {
+		a.recordFirst(time.Now())
 	}
 	if j.streaming() {
-		// A stream that goes on cannot take a plain answer.
-		return failed, j.failed(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Ran)
+		// A stream in progress cannot be continued by an answer that is not a stream.
+		return failed, j.recordFailure(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Ran)
 	}
-	if whole.rest == nil && answer.Status >= http.StatusInternalServerError {
-		j.held = whole
-		j.doubt(problem.Ran)
-		if j.worthRepeating() {
+	if buffered.rest == nil && answer.Status >= http.StatusInternalServerError {
+		j.bufferedError = buffered
+		j.recordOutcome(problem.Ran)
+		if j.shouldRetry() {
 			j.log(string(problem.Ran)).Int("status", answer.Status).Msg("attemptFailed")
-			return ended, again
+			return errorAnswer, tryNext
 		}
-		return ended, j.answerHeld()
+		return errorAnswer, j.writeBufferedError()
 	}
-	if err := j.answerPlain(whole); err != nil {
-		return j.endingOf(ctx, err), broken
+	if err := j.writeAnswer(buffered); err != nil {
+		return j.endingOf(ctx, err), truncated
 	}
 	return succeeded, answered
 }
 
-// worthRepeating reports whether another attempt may do better than an endpoint's own failure.
-func (j *job) worthRepeating() bool {
-	return j.route.Repeatable() && j.runs < j.maxRuns() && j.attempts < maxPlaces && time.Until(j.deadline) > leastTimeLeft
+// shouldRetry reports whether another attempt may replace an endpoint's error answer.
+func (j *job) shouldRetry() bool {
+	return j.route.Repeatable() && j.runs < j.maxRuns() && j.attempts < maxAttempts && time.Until(j.deadline) > minTimeLeft
 }
 
-func isEvents(h http.Header) bool {
+func isEventStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-func readPlain(answer *exchange.Answer) (*plain, error) {
+// readAnswer reads an answer of up to maxBufferedBytes; a longer one keeps the rest to be read.
+func readAnswer(answer *exchange.Answer) (*bufferedAnswer, error) {
 	var b bytes.Buffer
-	n, err := b.ReadFrom(io.LimitReader(answer, heldBytes))
+	n, err := b.ReadFrom(io.LimitReader(answer, maxBufferedBytes))
 	if err != nil {
 		return nil, &exchange.Error{Stage: exchange.Reading, Outcome: problem.Unknown, Cause: err}
 	}
-	a := &plain{status: answer.Status, header: answer.Header, body: b.Bytes()}
-	if n == heldBytes {
+	a := &bufferedAnswer{status: answer.Status, header: answer.Header, body: b.Bytes()}
+	if n == maxBufferedBytes {
 		a.rest = answer
 	}
 	return a, nil
 }
 
-// answerHeld gives the caller an endpoint's own failure.
-func (j *job) answerHeld() next {
-	if err := j.answerPlain(j.held); err != nil {
-		return broken
+// writeBufferedError sends the buffered error answer of an endpoint to the caller.
+func (j *job) writeBufferedError() nextStep {
+	if err := j.writeAnswer(j.bufferedError); err != nil {
+		return truncated
 	}
 	return answered
 }
 
-// answerPlain gives the caller an answer as the endpoint gave it; an error says that the caller does not have all of it.
-func (j *job) answerPlain(a *plain) error {
+// writeAnswer sends an answer to the caller unchanged. An error means that the caller has not received all of it.
+func (j *job) writeAnswer(a *bufferedAnswer) error {
 	h := j.w.Header()
-	giveHeader(h, a.header)
+	copyAnswerHeader(h, a.header)
 	if a.rest == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
-	j.tellRuns(h)
+	j.setRunsHeader(h)
 	j.g.cfg.Metrics.Count("answered")
 	if j.firstAt.IsZero() {
 		j.firstAt = time.Now()
 	}
-	j.g.times.note(j.route.Kind, j.received, j.firstAt)
+	j.g.latencies.record(j.route.Kind, j.received, j.firstAt)
 	j.log("answered").Int("status", a.status).Msg("served")
 	j.w.WriteHeader(a.status)
 	_, err := j.w.Write(a.body)
@@ -254,16 +257,16 @@
 	return err
 }
 
-// connectionHeaders concern one connection alone.
+// connectionHeaders returns the hop-by-hop headers, which concern a single connection.
 func connectionHeaders() []string {
 	return []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 }
 
-// copyHeader returns a copy of a header without what concerns one connection.
+// copyHeader returns a copy of a header without hop-by-hop headers and those between gateways.
 func copyHeader(h http.Header) http.Header {
 	c := h.Clone()
-	for _, named := range h.Values("Connection") {
-		for name := range strings.SplitSeq(named, ",") {
+	for _, listed := range h.Values("Connection") {
+		for name := range strings.SplitSeq(listed, ",") {
 			c.Del(strings.TrimSpace(name))
 		}
 	}
@@ -276,8 +279,8 @@
 	return c
 }
 
-// giveHeader copies the header of an answer for the caller.
-func giveHeader(to, from http.Header) {
+// copyAnswerHeader copies the header of an answer to that of the caller's response.
+func copyAnswerHeader(to, from http.Header) {
 	for name, values := range copyHeader(from) {
 		to[name] = values
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// outcomeHeader tells another gateway what became of a request that a gateway answers itself.
+	// outcomeHeader carries the outcome of a request that a gateway answers itself to another gateway.
 	outcomeHeader = "Arbutusreel-Outcome"
-	// attemptsHeader tells another gateway how many endpoints it may send a request to.
+	// attemptsHeader carries the number of endpoints that another gateway may send the request to.
 	attemptsHeader = "Arbutusreel-Attempts"
-	// drawHeader hands the draw among a route's services on, so that both gateways choose the same one.
+	// drawHeader carries the random number that selects one of a route's services, so that both gateways choose the
+	// same one.
 	drawHeader = "Arbutusreel-Draw"
-	// runsHeader tells the gateway that asked how many endpoints may have run a request.
+	// runsHeader carries the number of endpoints that may have run a request back to the forwarding gateway.
 	runsHeader = "Arbutusreel-Runs"
-	// ageHeader tells another gateway for how many milliseconds the request has been in the system.
+	// ageHeader carries the time in milliseconds that the request has spent in the system to another gateway.
 	ageHeader = "Arbutusreel-Age"
-	// startTime is within how long after its start a gateway usually has a table, and notReadyRetryAfter the least time after
-	// which a caller comes back to one that has none.
-	startTime          = 1200 * time.Millisecond
+	// startupTime is the time after its start within which a gateway usually has a routing table. notReadyRetryAfter is
+	// the least retry delay given to callers before that.
+	startupTime        = 1200 * time.Millisecond
 	notReadyRetryAfter = 250 * time.Millisecond
-	// defaultBodyBytes bounds a body if the table does not.
+	// defaultBodyBytes bounds the size of a body if the routing table sets no limit.
 	defaultBodyBytes = 4 << 20
 )
 
@@ -45,39 +46,40 @@
 	body      []byte
 	draw      float64
 	received  time.Time
-	// age is for how long the request was at another gateway before.
+	// age is the time that the request spent at another gateway before.
 	age time.Duration
-	// returned says that the caller was refused before.
-	returned bool
-	deadline time.Time
-	route    *routes.Route
-	service  *routes.Service
-	view     *view
-	tried    map[string]bool
+	// refusedBefore reports whether the caller has come back after a refusal.
+	refusedBefore bool
+	deadline      time.Time
+	route         *routes.Route
+	service       *routes.Service
+	view          *view
+	tried         map[string]bool
 	// sends counts the endpoints that the request was sent to, and runs those that may have run it.
 	sends, runs int
-	// charge is the number of runs that the present attempt counts for if it fails: all that were left to it if another
-	// gateway has not told how many it used.
-	charge int
-	// allowed is the number of endpoints that another gateway left to this one; zero if it was not told.
-	allowed  int
-	attempts int
-	// outcome is the worst that is known of the request.
+	// chargedRuns is the number of runs that the present attempt counts for if it fails: all that remained for a
+	// forwarded request unless the other gateway has reported how many it used.
+	chargedRuns int
+	// allowedRuns is the number of runs that another gateway left to this one; zero if not given.
+	allowedRuns int
+	attempts    int
+	// outcome is the worst known outcome of the request.
 	outcome problem.Outcome
-	stream  *relay
-	// held is an endpoint's own failure, which is the answer if no other endpoint does better.
-	held    *plain
-	place   place
-	firstAt time.Time
-	lastErr error
+	stream  *callerStream
+	// bufferedError is an endpoint's error answer, which the caller gets if no other endpoint does better.
+	bufferedError *bufferedAnswer
+	decision      decision
+	firstAt       time.Time
+	lastErr       error
 }
 
+// serve handles one request of a caller, or of another gateway if forwarded is set.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request, forwarded bool) {
 	now := time.Now()
 	g.inFlight.Add(1)
 	g.cfg.Metrics.Begin()
 	defer g.cfg.Metrics.End()
-	g.lastTaken.Store(now.UnixNano())
+	g.lastRequestAt.Store(now.UnixNano())
 	defer g.inFlight.Add(-1)
 	if g.stopping.Load() != 0 {
 		w.Header().Set("Connection", "close")
@@ -98,7 +100,7 @@
 	j.run()
 }
 
-// read matches the request, and reads its headers and its body.
+// read decodes the headers, matches the route and reads the body.
 func (j *job) read() *problem.Problem {
 	if j.view.table == nil {
 		return problem.New(problem.NotReady, http.StatusServiceUnavailable, "no routing document is in force yet").
@@ -120,34 +122,35 @@
 		patience = min(patience, call.Patience)
 	}
 	j.deadline = j.received.Add(patience)
-	j.returned = j.g.placer.returned(j.route.Name, j.call.Patience+j.age)
-	if stopping := j.g.stoppingFor(j.received); stopping > lastStreams && j.route.Kind == routes.Stream {
+	j.refusedBefore = j.g.placer.refusedBefore(j.route.Name, j.call.Patience+j.age)
+	if stopping := j.g.stoppingFor(j.received); stopping > streamAcceptTime && j.route.Kind == routes.Stream {
 		return problem.New(problem.Stopping, http.StatusServiceUnavailable, "the gateway is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
 	return j.readBody()
 }
 
-// notReadyRetryAfter returns when a caller comes back: when the gateway will have a table, spread so that not all come
-// back together.
+// notReadyRetryAfter returns the expected time until the gateway has a routing table, plus a random part so that
+// callers do not all come back together.
 func (g *Gateway) notReadyRetryAfter(now time.Time) time.Duration {
-	ready := max(startTime-now.Sub(g.started), notReadyRetryAfter)
+	ready := max(startupTime-now.Sub(g.started), notReadyRetryAfter)
 	return ready + time.Duration(g.placer.draw()*float64(ready)/2)
 }
 
+// readForwarded reads the headers set by the forwarding gateway and ignores invalid values.
 func (j *job) readForwarded() {
 	h := j.r.Header
 	if draw, err := strconv.ParseFloat(h.Get(drawHeader), 64); err == nil && draw >= 0 && draw < 1 {
 		j.draw = draw
 	}
 	if allowed, err := strconv.Atoi(h.Get(attemptsHeader)); err == nil && allowed > 0 {
-		j.allowed = allowed
+		j.allowedRuns = allowed
 	}
 	if age, err := strconv.ParseInt(h.Get(ageHeader), 10, 64); err == nil && age > 0 {
 		j.age = time.Duration(age) * time.Millisecond
 	}
 }
 
-// match finds the route and the service in a view, and reports whether there are any.
+// match looks up the route and the service in a view, and reports whether both exist.
 func (j *job) match(v *view) bool {
 	route := v.table.Match(j.r.Host, j.path)
 	if route == nil {
@@ -158,6 +161,7 @@
 	return j.service != nil
 }
 
+// readBody reads the body within the size limit.
 func (j *job) readBody() *problem.Problem {
 	limit := j.view.table.Limits().BodyBytes
 	if limit <= 0 {
@@ -182,29 +186,29 @@
 	if int64(len(j.body)) > limit {
 		return problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "the body has more than %d bytes", limit)
 	}
-	// Reading on to the end of the body lets the server notice when the caller leaves.
+	// Reading to the end of the body lets the HTTP server detect that the caller has disconnected.
 	if n, err := j.r.Body.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-		return problem.New(problem.MalformedRequest, http.StatusBadRequest, "the body does not end where its length says")
+		return problem.New(problem.MalformedRequest, http.StatusBadRequest, "the body does not end at its declared length")
 	}
 	return nil
 }
 
-// asked returns what is left of the caller's time.
+// asked returns the caller's objective and the time that is left.
 func (j *job) asked(now time.Time) capacity.Asked {
 	return capacity.Asked{
 		Objective: j.route.Objective - j.age - now.Sub(j.received), Left: j.deadline.Sub(now), WholeObjective: j.route.Objective,
-		Returned: j.returned,
+		Returned: j.refusedBefore,
 	}
 }
 
-// tellRuns tells another gateway how many endpoints may have run the request.
-func (j *job) tellRuns(h http.Header) {
+// setRunsHeader reports the number of runs to the forwarding gateway.
+func (j *job) setRunsHeader(h http.Header) {
 	if j.forwarded {
 		h.Set(runsHeader, strconv.Itoa(j.runs))
 	}
 }
 
-// refuse answers with the gateway's own failure. A request that may have run never gets a status that says otherwise.
+// refuse answers with the gateway's own failure. A request that may have run never gets a status that says it has not.
 func (j *job) refuse(p *problem.Problem) {
 	if j.streaming() {
 		j.log("streamBroken").Str("reason", string(p.Code)).Err(j.lastErr).Msg("served")
@@ -212,7 +216,7 @@
 	}
 	h := j.w.Header()
 	h.Set(outcomeHeader, string(p.Outcome))
-	j.tellRuns(h)
+	j.setRunsHeader(h)
 	if p.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(p.RetryAfter.Seconds(), 'f', 3, 64))
 	}
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -13,8 +13,8 @@
 	"arbutusreel/routes"
 )
 
-// TestBrokenStreamAfterFailure breaks a stream whose first endpoint had answered with a failure of its own: the caller
-// must not get that failure as the end of its stream.
+// TestBrokenStreamAfterFailure breaks a stream after another endpoint had answered with an error: the caller must not
+// get that error as the end of its stream.
 func TestBrokenStreamAfterFailure(t *testing.T) {
 	a := newEndpoint(t, "a", func(c *endpointConn, _ *http.Request, _ int) bool {
 		c.plain("request-1", 500, "failed")
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestResume breaks a stream at each place of an event; it goes on at another endpoint, after the last whole event.
+// TestResume breaks a stream at each position within an event: it is resumed at another endpoint after the last
+// complete event.
 func TestResume(t *testing.T) {
 	cases := map[string]func(c *endpointConn) bool{
 		"between events":        func(c *endpointConn) bool { return c.reset() },
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestOutcomes checks the status of a request that fails at an endpoint: only one that surely has not run is answered
-// as such, and one that may have run is not sent again.
+// TestOutcomes checks the status of requests that fail at an endpoint: only a request that certainly has not run is
+// reported as such, and an unsafe one that may have run is not sent again.
 func TestOutcomes(t *testing.T) {
 	long := func(c *endpointConn, body string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: request-1\r\nSigned: a\r\nContent-Length: 100\r\n\r\n%s", body)
@@ -92,7 +93,7 @@
 		name   string
 		path   string
 		script endpointScript
-		// want is the status; second is the number of requests at the other endpoint.
+		// want is the status, and second the number of requests at the other endpoint.
 		want, second int
 	}{
 		{"unsafe, reset after it was read", "/unsafe/x", func(c *endpointConn, _ *http.Request, _ int) bool { return c.reset() }, 502, 0},
@@ -151,7 +152,7 @@
 	}
 }
 
-// TestRefusalNotRun has no endpoint that can be reached: the request has surely not run, and may come back.
+// TestRefusalNotRun has only an endpoint that cannot be reached: the request has not run, and the caller may retry.
 func TestRefusalNotRun(t *testing.T) {
 	gone := &testEndpoint{id: "gone", address: "127.0.0.1:1"}
 	g := newGateway(t, testTable(t, nil), gone)
@@ -163,7 +164,7 @@
 	}
 }
 
-// TestLongAnswer gives an answer that is longer than what a gateway holds: it arrives whole, and one that breaks off does
+// TestLongAnswer sends an answer that exceeds the gateway's buffer: it arrives complete, and one that breaks off does
 // not look complete.
 func TestLongAnswer(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 17<<16)
@@ -186,9 +187,9 @@
 	}
 }
 
-// TestForeignAnswers sends an answer twice; the second one waits on the kept connection and is not given to the next
-// request.
-func TestForeignAnswers(t *testing.T) {
+// TestDuplicateAnswers sends an answer twice: the second copy, left unread on the reused connection, must not be given
+// to the next request.
+func TestDuplicateAnswers(t *testing.T) {
 	for _, delay := range []time.Duration{0, 30 * time.Millisecond} {
 		a := newEndpoint(t, "a", func(c *endpointConn, r *http.Request, n int) bool {
 			c.plain(r.Header.Get("Id"), 200, r.Header.Get("Id"))
@@ -207,8 +208,8 @@
 	}
 }
 
-// TestStaleConnection closes a kept connection while a request is under way: it is never sent a second time, although
-// it has no body or an idempotency key.
+// TestStaleConnection resets a reused connection while a request is in progress: an unsafe request is not sent a second
+// time, even if it has no body or has an idempotency key.
 func TestStaleConnection(t *testing.T) {
 	a := newEndpoint(t, "a", func(c *endpointConn, r *http.Request, n int) bool {
 		if n > 0 {
@@ -227,8 +228,9 @@
 	}
 }
 
-// TestCallerLeaves closes the caller's connection; the endpoint's connection is closed, which stops its work.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects closes the caller's connection: the connection to the endpoint is closed too, which stops its
+// work.
+func TestCallerDisconnects(t *testing.T) {
 	working := make(chan struct{})
 	a := newEndpoint(t, "a", func(c *endpointConn, _ *http.Request, _ int) bool {
 		close(working)
@@ -252,7 +254,7 @@
 	}
 }
 
-// TestTimeout keeps an endpoint silent beyond the route's timeout.
+// TestTimeout has an endpoint that does not answer within the route's timeout.
 func TestTimeout(t *testing.T) {
 	a := newEndpoint(t, "a", func(c *endpointConn, _ *http.Request, _ int) bool {
 		_, err := c.Read(make([]byte, 1))
@@ -264,7 +266,7 @@
 	}
 }
 
-// TestForward sends a request whose route is not allowed in the region to a gateway of another one, once.
+// TestForward forwards a request whose route is not allowed in the region to a gateway of another one, at most once.
 func TestForward(t *testing.T) {
 	homes := func(r *routes.Route) { r.Homes = []string{"there"} }
 	a := newEndpoint(t, "a", func(c *endpointConn, r *http.Request, _ int) bool {
@@ -288,7 +290,7 @@
 	if r := a.requests()[0]; r.Header.Get(ageHeader) != "" || r.Header.Get(drawHeader) != "" {
 		t.Errorf("the endpoint got %v", r.Header)
 	}
-	// A gateway that cannot serve the request either must not send it on.
+	// A gateway that cannot serve a forwarded request must not forward it again.
 	v.gateways[0].ForwardAddress = newForwardServer(t, here)
 	here.view.Store(&v)
 	if got := here.call(t.Context(), "POST", "/stream/x", nil); got.status != http.StatusServiceUnavailable {
@@ -296,7 +298,8 @@
 	}
 }
 
-// TestForwardedRuns lets every endpoint fail: the runs that another gateway used count for the gateway that asked it.
+// TestForwardedRuns makes every endpoint fail: the runs used by another gateway count towards the limit at the
+// forwarding gateway.
 func TestForwardedRuns(t *testing.T) {
 	fails := func(c *endpointConn, r *http.Request, _ int) bool {
 		c.plain(r.Header.Get("Id"), 500, "failed")
@@ -318,9 +321,9 @@
 	}
 }
 
-// TestSilentStream pauses a stream for longer than any first piece is waited for, at an endpoint and behind another
-// gateway: it is not broken off, as engines that lack memory pause.
-func TestSilentStream(t *testing.T) {
+// TestPausedStream pauses a stream for longer than the timeout for its first piece, at a local endpoint and behind
+// another gateway: it is not broken off, as engines that run out of memory pause streams.
+func TestPausedStream(t *testing.T) {
 	const pause = 1600 * time.Millisecond
 	slow := func(c *endpointConn, r *http.Request, _ int) bool {
 		c.head(r.Header.Get("Id"))
@@ -358,10 +361,10 @@
 	})
 }
 
-// TestFirstPatience keeps an endpoint silent for longer than a first piece is waited for: the request goes to another one
-// only if that has room.
-func TestFirstPatience(t *testing.T) {
-	for name, backlog := range map[string]int64{"room elsewhere": 0, "no room elsewhere": 1 << 30} {
+// TestFirstTimeout has an endpoint that is silent for longer than the timeout for the first piece: the request moves to
+// another endpoint only if that has free capacity.
+func TestFirstTimeout(t *testing.T) {
+	for name, backlog := range map[string]int64{"capacity elsewhere": 0, "no capacity elsewhere": 1 << 30} {
 		t.Run(name, func(t *testing.T) {
 			answer := func(pause time.Duration) endpointScript {
 				return func(c *endpointConn, r *http.Request, _ int) bool {
@@ -374,7 +377,7 @@
 			}
 			a, b := newEndpoint(t, "a", answer(1500*time.Millisecond)), newEndpoint(t, "b", answer(0))
 			g := newGateway(t, testTable(t, func(r *routes.Route) { r.Objective = 300 * time.Millisecond }), a, b)
-			g.placer.states["b"].own.PromptTokens[0] = backlog
+			g.placer.states["b"].outstanding.PromptTokens[0] = backlog
 			got := g.call(t.Context(), "POST", "/stream/x", nil)
 			want := "a"
 			if backlog == 0 {
@@ -387,7 +390,7 @@
 	}
 }
 
-// TestLatencies checks that answers are counted with their times, by kind of route.
+// TestLatencies checks that answers are recorded in the latency histograms of their kind of route.
 func TestLatencies(t *testing.T) {
 	a := newEndpoint(t, "a", func(c *endpointConn, r *http.Request, _ int) bool {
 		c.plain(r.Header.Get("Id"), 200, "ok")
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -16,43 +16,48 @@
 )
 
 const (
-	// sessionSilence is the silence after which a control daemon is given up: three of its signs of life.
-	sessionSilence = 1500 * time.Millisecond
-	// raceTime is how long sessions with all control daemons compete. The first word of one in another region takes three
-	// round trips.
-	raceTime = time.Second
-	// raceStarts is how often a session with each control daemon is begun in a race, raceStagger apart: an opening packet
-	// that met a machine without power is sent again only after a second.
-	raceStarts  = 3
-	raceStagger = 250 * time.Millisecond
-	// settleTime is how long a gateway without a session waits for one that is current once it has found another.
-	settleTime = 150 * time.Millisecond
-	// searchPeriod is how often a gateway looks for a control daemon that is current while its own is not.
+	// controlTimeout is the time without an update after which a session is closed: three heartbeat periods of a
+	// control daemon.
+	controlTimeout = 1500 * time.Millisecond
+	// raceTimeout bounds the concurrent connection attempts to all control daemons. The first update from another
+	// region takes three round trips.
+	raceTimeout = time.Second
+	// raceAttempts is the number of connection attempts to each control daemon in a race, started raceStagger apart: a
+	// SYN that is lost, for example to a machine without power, is retransmitted only after a second.
+	raceAttempts = 3
+	raceStagger  = 250 * time.Millisecond
+	// currentPreferenceTime is how long a gateway without a session waits for a current control daemon once a stale one
+	// has answered.
+	currentPreferenceTime = 150 * time.Millisecond
+	// searchPeriod is the interval at which a gateway looks for a current control daemon while its own is stale.
 	searchPeriod = 1200 * time.Millisecond
-	// staleTime is how long a control daemon may be without a leader before another one is looked for.
-	staleTime = 600 * time.Millisecond
-	// reportPeriod is how often a gateway reports; the one that tells its region's load does so more often.
-	reportPeriod     = 500 * time.Millisecond
-	roomReportPeriod = 200 * time.Millisecond
-	// changeCheck is how often a gateway looks whether its report has changed.
-	changeCheck = 50 * time.Millisecond
-	// staleDocumentTime is how long a gateway without any document waits for a control daemon that is current.
-	staleDocumentTime = 500 * time.Millisecond
+	// staleControlTime is how long a control daemon may be without a leader before another one is searched for.
+	staleControlTime = 600 * time.Millisecond
+	// reportPeriod is the interval between a gateway's reports, and capacityReportPeriod that of the gateway which also
+	// reports its region's capacity.
+	reportPeriod         = 500 * time.Millisecond
+	capacityReportPeriod = 200 * time.Millisecond
+	// pollPeriod is the interval at which a gateway checks for changes to report and repeats its waiting loops.
+	pollPeriod = 50 * time.Millisecond
+	// currentDocumentWait is how long after its start a gateway without a document waits for one from a current control
+	// daemon.
+	currentDocumentWait = 500 * time.Millisecond
 )
 
-type attendance = grpc.BidiStreamingClient[wiregen.GatewayReport, wiregen.FleetUpdate]
+// controlStream is the bidirectional stream of a session with a control daemon.
+type controlStream = grpc.BidiStreamingClient[wiregen.GatewayReport, wiregen.FleetUpdate]
 
-// candidate is a session that competes to be the gateway's.
-type candidate struct {
-	address string
-	conn    *grpc.ClientConn
-	stream  attendance
-	cancel  context.CancelFunc
-	first   *wiregen.FleetUpdate
+// controlConn is a connection to a control daemon whose first update has arrived.
+type controlConn struct {
+	address     string
+	conn        *grpc.ClientConn
+	stream      controlStream
+	cancel      context.CancelFunc
+	firstUpdate *wiregen.FleetUpdate
 }
 
-// close ends the session; a nil candidate has none.
-func (c *candidate) close() {
+// close ends the stream and the connection; it does nothing on nil.
+func (c *controlConn) close() {
 	if c == nil {
 		return
 	}
@@ -60,24 +65,24 @@
 	_ = c.conn.Close()
 }
 
-// maxUpdateBytes bounds one update, which may hold a large document.
+// maxUpdateBytes bounds the size of one update, which may contain a large document.
 const maxUpdateBytes = 64 << 20
 
-// attend keeps a session with one control daemon until ctx ends.
-func (g *Gateway) attend(ctx context.Context) {
-	var c *candidate
+// subscribe keeps a session with one control daemon at a time until ctx ends.
+func (g *Gateway) subscribe(ctx context.Context) {
+	var c *controlConn
 	for ctx.Err() == nil {
 		if c == nil {
-			c = g.race(ctx, false)
+			c = g.connectAny(ctx, false)
 		}
 		if c == nil {
-			clock.Sleep(ctx, changeCheck)
+			clock.Sleep(ctx, pollPeriod)
 			continue
 		}
-		g.log.Info().Str("control", c.address).Bool("current", c.first.GetCurrent()).Msg("controlAttended")
-		better, err := g.follow(ctx, c)
+		g.log.Info().Str("control", c.address).Bool("current", c.firstUpdate.GetCurrent()).Msg("subscribed to control daemon")
+		better, err := g.runSession(ctx, c)
 		c.close()
-		g.log.Warn().Str("control", c.address).Bool("replaced", better != nil).Err(err).Msg("controlLost")
+		g.log.Warn().Str("control", c.address).Bool("replaced", better != nil).Err(err).Msg("control daemon connection lost")
 		c = better
 	}
 	if c != nil {
@@ -85,38 +90,38 @@
 	}
 }
 
-// race opens sessions with all known control daemons and returns the first that is current. If any will do, it returns
-// another one soon after it was found.
-func (g *Gateway) race(ctx context.Context, onlyCurrent bool) *candidate {
-	ctx, cancel := context.WithTimeout(ctx, raceTime)
+// connectAny connects to all known control daemons concurrently and returns the first that is current. Unless
+// onlyCurrent is set, it returns a stale one if no current one answers within currentPreferenceTime of it.
+func (g *Gateway) connectAny(ctx context.Context, onlyCurrent bool) *controlConn {
+	ctx, cancel := context.WithTimeout(ctx, raceTimeout)
 	defer cancel()
-	addresses, starts := g.controlAddresses(), raceStarts
+	addresses, starts := g.controlAddresses(), raceAttempts
 	if onlyCurrent {
 		starts = 1
 	}
-	arrived := make(chan *candidate, len(addresses)*starts)
+	results := make(chan *controlConn, len(addresses)*starts)
 	for _, address := range addresses {
 		for i := range starts {
 			go func() {
 				clock.Sleep(ctx, time.Duration(i)*raceStagger)
-				arrived <- g.open(ctx, address)
+				results <- g.connect(ctx, address)
 			}()
 		}
 	}
-	var best *candidate
+	var best *controlConn
 	for range len(addresses) * starts {
-		c := <-arrived
+		c := <-results
 		if c == nil {
 			continue
 		}
-		if onlyCurrent && !c.first.GetCurrent() {
+		if onlyCurrent && !c.firstUpdate.GetCurrent() {
 			c.close()
 			continue
 		}
 		if !onlyCurrent {
-			time.AfterFunc(settleTime, cancel)
+			time.AfterFunc(currentPreferenceTime, cancel)
 		}
-		if best != nil && (best.first.GetCurrent() || !c.first.GetCurrent()) {
+		if best != nil && (best.firstUpdate.GetCurrent() || !c.firstUpdate.GetCurrent()) {
 			c.close()
 			continue
 		}
@@ -124,40 +129,40 @@
 			best.close()
 		}
 		best = c
-		if c.first.GetCurrent() {
+		if c.firstUpdate.GetCurrent() {
 			cancel()
 		}
 	}
 	return best
 }
 
-// open opens a session and returns it once its first update has arrived, or nil.
-func (g *Gateway) open(race context.Context, address string) *candidate {
-	if race.Err() != nil {
+// connect opens a session and returns it once its first update has arrived, or nil if that fails.
+func (g *Gateway) connect(raceCtx context.Context, address string) *controlConn {
+	if raceCtx.Err() != nil {
 		return nil
 	}
 	conn, err := g.cfg.Keys.Dial(address, maxUpdateBytes)
 	if err != nil {
 		return nil
 	}
-	ctx, cancel := context.WithCancel(g.work)
-	c := &candidate{address: address, conn: conn, cancel: cancel}
-	lost := context.AfterFunc(race, cancel)
+	ctx, cancel := context.WithCancel(g.workCtx)
+	c := &controlConn{address: address, conn: conn, cancel: cancel}
+	stopCancel := context.AfterFunc(raceCtx, cancel)
 	c.stream, err = wiregen.NewFleetClient(conn).Attend(ctx)
 	if err == nil {
 		err = c.stream.Send(g.report(time.Now(), false))
 	}
 	if err == nil {
-		c.first, err = c.stream.Recv()
+		c.firstUpdate, err = c.stream.Recv()
 	}
-	if err != nil || !lost() {
+	if err != nil || !stopCancel() {
 		c.close()
 		return nil
 	}
 	return c
 }
 
-// controlAddresses returns the control daemons that are known.
+// controlAddresses returns the addresses of all known control daemons.
 func (g *Gateway) controlAddresses() []string {
 	g.controlsMu.Lock()
 	defer g.controlsMu.Unlock()
@@ -166,33 +171,34 @@
 	return slices.Compact(all)
 }
 
-// follow takes updates and sends reports until the session ends or falls silent. While its control daemon has no leader
-// it looks for one that has, and returns that.
-func (g *Gateway) follow(ctx context.Context, c *candidate) (better *candidate, err error) {
-	// What an earlier control daemon told of gateways that have gone since would never be taken back.
-	clear(g.beliefs.gateways)
-	g.take(c.address, c.first)
+// runSession receives updates and sends reports until the session fails or times out. While its control daemon is
+// stale, it searches for a current one, which it returns.
+func (g *Gateway) runSession(ctx context.Context, c *controlConn) (better *controlConn, err error) {
+	// Gateways that have gone since the former session would never be reported gone in this one, so that the table
+	// starts empty.
+	clear(g.state.gateways)
+	g.applyUpdate(c.address, c.firstUpdate)
 	now := time.Now()
 	s := &session{
-		gateway: g, candidate: c, updates: make(chan *wiregen.FleetUpdate, queuedUpdates), failed: make(chan error, 1),
-		found: make(chan *candidate, 1), heard: now, currentAt: now,
+		gateway: g, control: c, updates: make(chan *wiregen.FleetUpdate, updateQueueLength), failed: make(chan error, 1),
+		found: make(chan *controlConn, 1), updatedAt: now, currentAt: now,
 	}
 	go s.receive()
-	defer s.leave()
-	check := time.NewTicker(changeCheck)
+	defer s.release()
+	check := time.NewTicker(pollPeriod)
 	defer check.Stop()
 	for {
 		select {
 		case u := <-s.updates:
-			s.take(u)
+			s.handleUpdate(u)
 		case err := <-s.failed:
 			return nil, err
-		case other := <-s.found:
+		case found := <-s.found:
 			s.searching = false
-			if other != nil && other.first.GetCurrent() && time.Since(s.currentAt) > staleTime {
-				return other, &StaleControlError{Address: c.address, Behind: time.Since(s.currentAt)}
+			if found != nil && found.firstUpdate.GetCurrent() && time.Since(s.currentAt) > staleControlTime {
+				return found, &StaleControlError{Address: c.address, Behind: time.Since(s.currentAt)}
 			}
-			other.close()
+			found.close()
 		case now := <-check.C:
 			if err := s.check(ctx, now); err != nil {
 				return nil, err
@@ -203,30 +209,30 @@
 	}
 }
 
-// queuedUpdates is the number of updates that wait to be taken.
-const queuedUpdates = 16
+// updateQueueLength is the number of received updates that may wait.
+const updateQueueLength = 16
 
-// session is what a gateway knows of its session with a control daemon.
+// session is the state of a session with a control daemon.
 type session struct {
-	gateway   *Gateway
-	candidate *candidate
-	updates   chan *wiregen.FleetUpdate
-	failed    chan error
-	// found brings the result of a search for a control daemon that is current.
-	found     chan *candidate
-	searching bool
-	searched  time.Time
-	heard     time.Time
-	currentAt time.Time
-	reported  time.Time
-	// ready and lingering are what was reported last.
+	gateway *Gateway
+	control *controlConn
+	updates chan *wiregen.FleetUpdate
+	failed  chan error
+	// found receives the result of a search for a current control daemon.
+	found      chan *controlConn
+	searching  bool
+	searchedAt time.Time
+	updatedAt  time.Time
+	currentAt  time.Time
+	reportedAt time.Time
+	// ready and lingering are the values in the last report.
 	ready, lingering bool
 }
 
-// receive hands updates over until the stream ends.
+// receive queues updates until the stream ends.
 func (s *session) receive() {
 	for {
-		u, err := s.candidate.stream.Recv()
+		u, err := s.control.stream.Recv()
 		if err != nil {
 			s.failed <- err
 			close(s.updates)
@@ -236,8 +242,8 @@
 	}
 }
 
-// leave frees what still runs for the session; closing the candidate ends its stream.
-func (s *session) leave() {
+// release drains the channels that goroutines of the session may still send to. Closing the connection ends its stream.
+func (s *session) release() {
 	go func() {
 		for range s.updates {
 			continue
@@ -248,52 +254,55 @@
 	}
 }
 
-func (s *session) take(u *wiregen.FleetUpdate) {
+// handleUpdate applies an update; nil marks a closed channel.
+func (s *session) handleUpdate(u *wiregen.FleetUpdate) {
 	if u == nil {
 		return
 	}
-	s.gateway.take(s.candidate.address, u)
-	s.heard = time.Now()
+	s.gateway.applyUpdate(s.control.address, u)
+	s.updatedAt = time.Now()
 	if u.GetCurrent() {
-		s.currentAt = s.heard
+		s.currentAt = s.updatedAt
 	}
 }
 
-// check returns an error if the control daemon is silent; it begins a search if it is behind, and reports if that is due.
+// check returns an error if the control daemon has timed out. It starts a search if the daemon is stale, and sends a
+// report if one is due.
 func (s *session) check(ctx context.Context, now time.Time) error {
 	g := s.gateway
-	if now.Sub(s.heard) > sessionSilence {
-		return &SilentControlError{Address: s.candidate.address, Silence: now.Sub(s.heard)}
+	if now.Sub(s.updatedAt) > controlTimeout {
+		return &SilentControlError{Address: s.control.address, Silence: now.Sub(s.updatedAt)}
 	}
-	if now.Sub(s.currentAt) > staleTime && now.Sub(s.searched) > searchPeriod && !s.searching {
-		s.searched, s.searching = now, true
-		go func() { s.found <- g.race(ctx, true) }()
+	if now.Sub(s.currentAt) > staleControlTime && now.Sub(s.searchedAt) > searchPeriod && !s.searching {
+		s.searchedAt, s.searching = now, true
+		go func() { s.found <- g.connectAny(ctx, true) }()
 	}
-	tells := g.tellsRoom()
+	withCapacity := g.reportsCapacity()
 	ready, lingering := g.Ready(), g.lingering(now)
-	due := now.Sub(s.reported) >= reportPeriod || tells && now.Sub(s.reported) >= roomReportPeriod
+	due := now.Sub(s.reportedAt) >= reportPeriod || withCapacity && now.Sub(s.reportedAt) >= capacityReportPeriod
 	if !due && ready == s.ready && lingering == s.lingering {
 		return nil
 	}
-	s.ready, s.lingering, s.reported = ready, lingering, now
-	return s.candidate.stream.Send(g.report(now, tells))
+	s.ready, s.lingering, s.reportedAt = ready, lingering, now
+	return s.control.stream.Send(g.report(now, withCapacity))
 }
 
-func (g *Gateway) report(now time.Time, tells bool) *wiregen.GatewayReport {
+// report returns the report to the control daemon, with the region's capacity if requested.
+func (g *Gateway) report(now time.Time, withCapacity bool) *wiregen.GatewayReport {
 	v := g.view.Load()
 	m := wire.EncodeGateway(fleet.Gateway{
 		Name: g.cfg.Name, Born: g.born, CallerAddress: g.cfg.CallerAddress, LoadAddress: g.cfg.LoadAddress,
 		ForwardAddress: g.cfg.ForwardAddress, FailureDomain: g.cfg.FailureDomain, Region: g.cfg.Region, Ready: g.Ready(), Lingering: g.lingering(now),
 	})
 	m.RouteVersion = v.version()
-	if tells {
-		m.Room = g.placer.room(now, v)
+	if withCapacity {
+		m.Room = g.placer.localCapacity(now, v)
 	}
 	return m
 }
 
-// tellsRoom reports whether this gateway tells its region's load: the first by name that is ready.
-func (g *Gateway) tellsRoom() bool {
+// reportsCapacity reports whether this gateway reports its region's capacity: the ready one with the lowest name does.
+func (g *Gateway) reportsCapacity() bool {
 	if !g.Ready() {
 		return false
 	}
@@ -305,33 +314,33 @@
 	return true
 }
 
-// take brings the beliefs up to date.
-func (g *Gateway) take(control string, u *wiregen.FleetUpdate) {
+// applyUpdate merges an update into the fleet state and publishes the new view.
+func (g *Gateway) applyUpdate(control string, u *wiregen.FleetUpdate) {
 	now := time.Now()
-	b := g.beliefs
-	g.takeEndpoints(now, control, u.GetEndpoints())
-	g.takeGateways(now, control, u.GetGateways())
-	if u.GetEvacuationsTold() && (u.GetCurrent() || len(b.evacuated) == 0) {
-		if !slices.Equal(b.evacuated, u.GetEvacuated()) {
-			g.log.Info().Strs("evacuated", u.GetEvacuated()).Str("control", control).Msg("evacuationsChanged")
+	st := g.state
+	g.updateEndpoints(now, control, u.GetEndpoints())
+	g.updateGateways(now, control, u.GetGateways())
+	if u.GetEvacuationsTold() && (u.GetCurrent() || len(st.evacuated) == 0) {
+		if !slices.Equal(st.evacuated, u.GetEvacuated()) {
+			g.log.Info().Strs("evacuated", u.GetEvacuated()).Str("control", control).Msg("evacuated failure domains changed")
 		}
-		b.takeEvacuations(now, u.GetEvacuated())
+		st.updateEvacuations(now, u.GetEvacuated())
 	}
 	for _, m := range u.GetRooms() {
-		b.rooms[m.GetRegion()] = decodeRoom(now, m)
+		st.capacities[m.GetRegion()] = decodeRegionCapacity(now, m)
 	}
 	if len(u.GetControls()) > 0 {
 		g.controlsMu.Lock()
 		g.controls = u.GetControls()
 		g.controlsMu.Unlock()
 	}
-	g.takeDocument(now, u)
+	g.updateDocument(now, u)
 	before := g.view.Load()
-	v := b.refresh(now, u, before)
-	v.heard, v.current, v.control = now, u.GetCurrent(), control
+	v := st.refresh(now, u, before)
+	v.updatedAt, v.current, v.control = now, u.GetCurrent(), control
 	if len(u.GetRooms()) > 0 {
-		if regained := g.placer.roomsTold(now, before, u.GetRooms()); len(regained) > 0 {
-			g.log.Info().Strs("regions", regained).Str("control", control).Msg("regionsHeardAgain")
+		if regained := g.placer.updateRegionCapacities(now, before, u.GetRooms()); len(regained) > 0 {
+			g.log.Info().Strs("regions", regained).Str("control", control).Msg("region capacity reports resumed")
 		}
 	}
 	g.view.Store(v)
@@ -340,12 +349,13 @@
 	}
 }
 
-func (g *Gateway) takeEndpoints(now time.Time, control string, records []*wiregen.EndpointRecord) {
+// updateEndpoints merges endpoint records into the fleet state, and drops the connections to endpoints that are gone.
+func (g *Gateway) updateEndpoints(now time.Time, control string, records []*wiregen.EndpointRecord) {
 	for _, m := range records {
 		e := wire.DecodeFleetEndpoint(now, m)
-		if g.beliefs.takeEndpoint(e) {
+		if g.state.updateEndpoint(e) {
 			g.log.Info().Str("endpoint", e.ID).Str("service", e.Service).Str("state", e.State.String()).Str("address", e.Address).
-				Dur("silent", now.Sub(e.Heard)).Bool("cold", e.Cold(now)).Str("control", control).Msg("endpointBelieved")
+				Dur("silent", now.Sub(e.Heard)).Bool("cold", e.Cold(now)).Str("control", control).Msg("endpoint state updated")
 		}
 		if e.State == fleet.Gone {
 			g.pool.Drop(e.Address)
@@ -353,51 +363,53 @@
 	}
 }
 
-func (g *Gateway) takeGateways(now time.Time, control string, records []*wiregen.GatewayRecord) {
-	known := g.beliefs.gateways
+// updateGateways merges gateway records into the fleet state.
+func (g *Gateway) updateGateways(now time.Time, control string, records []*wiregen.GatewayRecord) {
+	known := g.state.gateways
 	for _, m := range records {
-		told := wire.DecodeGateway(now.Add(-time.Duration(m.GetSilentMillis())*time.Millisecond), m.GetReport())
+		peer := wire.DecodeGateway(now.Add(-time.Duration(m.GetSilentMillis())*time.Millisecond), m.GetReport())
 		if !m.GetGone() {
-			known[told.Name] = told
+			known[peer.Name] = peer
 			continue
 		}
-		if known[told.Name].Born <= told.Born {
-			delete(known, told.Name)
-			g.log.Info().Str("gateway", told.Name).Str("control", control).Msg("gatewayGone")
+		if known[peer.Name].Born <= peer.Born {
+			delete(known, peer.Name)
+			g.log.Info().Str("gateway", peer.Name).Str("control", control).Msg("gateway removed")
 		}
 	}
 }
 
-// takeDocument takes the document of an update. A gateway that has none yet waits for a while for a control daemon that
-// is current, since another may be behind.
-func (g *Gateway) takeDocument(now time.Time, u *wiregen.FleetUpdate) {
-	b := g.beliefs
+// updateDocument puts the document of an update into force. A gateway without a document first waits up to
+// currentDocumentWait for one from a current control daemon, since a stale daemon may offer an old one.
+func (g *Gateway) updateDocument(now time.Time, u *wiregen.FleetUpdate) {
+	st := g.state
 	if m := u.GetDocument(); m != nil {
-		g.offered = configuration.Document{Version: m.GetVersion(), Content: m.GetContent()}
+		g.pendingDocument = configuration.Document{Version: m.GetVersion(), Content: m.GetContent()}
 	}
-	if g.offered.Version == 0 || !u.GetCurrent() && now.Sub(g.started) < staleDocumentTime {
+	if g.pendingDocument.Version == 0 || !u.GetCurrent() && now.Sub(g.started) < currentDocumentWait {
 		return
 	}
-	changed, err := b.takeDocument(g.offered)
+	changed, err := st.updateDocument(g.pendingDocument)
 	if err != nil {
-		g.log.Error().Err(err).Int64("routeVersion", g.offered.Version).Msg("documentUnreadable")
+		g.log.Error().Err(err).Int64("routeVersion", g.pendingDocument.Version).Msg("routing document invalid")
 	}
 	if changed {
-		g.log.Info().Int64("routeVersion", g.offered.Version).Bool("current", u.GetCurrent()).Msg("documentInForce")
+		g.log.Info().Int64("routeVersion", g.pendingDocument.Version).Bool("current", u.GetCurrent()).Msg("routing document in force")
 	}
-	g.offered = configuration.Document{}
+	g.pendingDocument = configuration.Document{}
 }
 
-func decodeRoom(now time.Time, m *wiregen.RegionRoom) regionRoom {
-	room := regionRoom{heard: now.Add(-time.Duration(m.GetAgeMillis()) * time.Millisecond), services: map[string]capacity.Room{}}
+// decodeRegionCapacity decodes the reported capacity of a region.
+func decodeRegionCapacity(now time.Time, m *wiregen.RegionRoom) regionCapacity {
+	rc := regionCapacity{reportedAt: now.Add(-time.Duration(m.GetAgeMillis()) * time.Millisecond), services: map[string]capacity.Room{}}
 	for _, s := range m.GetRoom() {
-		told := capacity.Room{
+		sc := capacity.Room{
 			Region: m.GetRegion(), PromptTokens: s.GetPromptTokens(), Endpoints: int(s.GetEndpoints()), Busy: float64(s.GetBusyPermille()) / permille,
 		}
 		for rank, wait := range s.GetWaitMillis()[:min(len(s.GetWaitMillis()), capacity.Ranks)] {
-			told.Wait[rank] = time.Duration(wait) * time.Millisecond
+			sc.Wait[rank] = time.Duration(wait) * time.Millisecond
 		}
-		room.services[s.GetService()] = told
+		rc.services[s.GetService()] = sc
 	}
-	return room
+	return rc
 }
--- a/gateway/session_test.go
+++ b/gateway/session_test.go
@@ -13,13 +13,13 @@
 	"arbutusreel/wiregen"
 )
 
-// testControl is a control daemon whose first word takes a while.
+// testControl is a control daemon that delays its first update.
 type testControl struct {
 	wiregen.UnimplementedFleetServer
 	address string
 	delay   time.Duration
 	current bool
-	// silent is the number of first sessions that get no word.
+	// silent is the number of first sessions that get no update.
 	silent atomic.Int32
 }
 
@@ -55,16 +55,16 @@
 	return c
 }
 
-// TestSessionMovesToCurrent has a near control daemon that lost the leader, and a far one that has it and whose first
-// word comes after several round trips between regions: the gateway moves to the far one.
+// TestSessionMovesToCurrent has a nearby control daemon without a leader, and a distant one with a leader whose first
+// update takes several round trips between regions: the gateway moves to the distant one.
 func TestSessionMovesToCurrent(t *testing.T) {
-	near, far := newControl(t, 0, false), newControl(t, 2*settleTime, true)
+	near, far := newControl(t, 0, false), newControl(t, 2*currentPreferenceTime, true)
 	g := newGateway(t, testTable(t, nil))
 	g.view.Store(&view{})
 	g.cfg.Controls = []string{near.address, far.address}
-	g.wg.Go(func() { g.attend(g.work) })
+	g.wg.Go(func() { g.subscribe(g.workCtx) })
 	t.Cleanup(func() {
-		g.endWork()
+		g.cancelWork()
 		g.wg.Wait()
 	})
 	for deadline := time.Now().Add(20 * time.Second); !g.view.Load().current; time.Sleep(10 * time.Millisecond) {
@@ -77,25 +77,25 @@
 	}
 }
 
-// TestRaceStartsAgain loses the first two sessions with the only control daemon, which starts later than the gateway:
-// one race finds it all the same.
-func TestRaceStartsAgain(t *testing.T) {
+// TestConnectRetries has a single control daemon that does not answer the first two sessions, as if it started later
+// than the gateway: one call of connectAny finds it nevertheless.
+func TestConnectRetries(t *testing.T) {
 	late := newControl(t, 0, true)
-	late.silent.Store(raceStarts - 1)
+	late.silent.Store(raceAttempts - 1)
 	g := newGateway(t, testTable(t, nil))
 	g.cfg.Controls = []string{late.address}
-	c := g.race(t.Context(), false)
+	c := g.connectAny(t.Context(), false)
 	defer c.close()
 	if c == nil {
-		t.Error("the race found no control daemon")
+		t.Error("connectAny found no control daemon")
 	}
 }
 
-// TestNotReady refuses what comes before there is a table: it may come back when there is one.
+// TestNotReady refuses requests before there is a routing table, with a retry delay until one is expected.
 func TestNotReady(t *testing.T) {
 	g := newGateway(t, testTable(t, nil))
 	g.view.Store(&view{})
-	for _, c := range []struct{ uptime, least time.Duration }{{0, startTime}, {startTime / 2, startTime / 2}, {time.Minute, notReadyRetryAfter}} {
+	for _, c := range []struct{ uptime, least time.Duration }{{0, startupTime}, {startupTime / 2, startupTime / 2}, {time.Minute, notReadyRetryAfter}} {
 		if got := g.notReadyRetryAfter(g.started.Add(c.uptime)); got < c.least || got > 2*c.least {
 			t.Errorf("%v after the start: come back after %v, want about %v", c.uptime, got, c.least)
 		}
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -13,25 +13,27 @@
 	"arbutusreel/wiregen"
 )
 
-// view is what a gateway believes of the fleet; it is immutable.
+// view is an immutable snapshot of the known state of the fleet.
 type view struct {
 	table *routes.Table
-	// endpoints are those of this region by service, without those that are gone or whose domain is evacuated.
-	endpoints map[string][]fleet.Endpoint
-	gateways  []fleet.Gateway
-	rooms     map[string]regionRoom
-	// heard is when the control daemon said something last, and current whether it had heard of the leader.
-	heard   time.Time
-	current bool
-	control string
+	// endpoints holds the ready endpoints of this region by service, without those in evacuated failure domains.
+	endpoints  map[string][]fleet.Endpoint
+	gateways   []fleet.Gateway
+	capacities map[string]regionCapacity
+	// updatedAt is the time of the control daemon's last update, and current whether that daemon was in contact with
+	// the leader.
+	updatedAt time.Time
+	current   bool
+	control   string
 }
 
-type regionRoom struct {
-	heard    time.Time
-	services map[string]capacity.Room
+// regionCapacity is the capacity that a region reported, by service.
+type regionCapacity struct {
+	reportedAt time.Time
+	services   map[string]capacity.Room
 }
 
-// version returns the version of the table in force, or zero.
+// version returns the version of the routing table in force, or zero if there is none.
 func (v *view) version() int64 {
 	if v.table == nil {
 		return 0
@@ -44,7 +46,8 @@
 	return slices.DeleteFunc(slices.Clone(v.gateways), func(g fleet.Gateway) bool { return g.Region != region || g.Name == except })
 }
 
-// rank returns the place of a name among the gateways of a region that send to its endpoints, and their number.
+// rank returns the rank of a name among the gateways of a region that send to its endpoints, and their number including
+// it.
 func (v *view) rank(region, name string) (rank, n int) {
 	for _, g := range v.gateways {
 		if g.Region != region || g.Name == name {
@@ -58,118 +61,123 @@
 	return rank, n + 1
 }
 
-// beliefs are the tables from which views are made; the session's goroutine alone uses them.
-type beliefs struct {
-	cfg       Config
-	endpoints map[string]fleet.Endpoint
-	gateways  map[string]fleet.Gateway
-	evacuated []string
-	returned  map[string]time.Time
-	rooms     map[string]regionRoom
-	document  configuration.Document
-	table     *routes.Table
-	// viewed is when a whole view was made last.
-	viewed time.Time
+// fleetState holds the tables from which views are built. Only the session's goroutine uses it.
+type fleetState struct {
+	cfg        Config
+	endpoints  map[string]fleet.Endpoint
+	gateways   map[string]fleet.Gateway
+	evacuated  []string
+	restoredAt map[string]time.Time
+	capacities map[string]regionCapacity
+	document   configuration.Document
+	table      *routes.Table
+	// fullViewAt is when a full view was last built.
+	fullViewAt time.Time
 }
 
-func newBeliefs(cfg Config) *beliefs {
-	return &beliefs{
+func newFleetState(cfg Config) *fleetState {
+	return &fleetState{
 		cfg: cfg, endpoints: map[string]fleet.Endpoint{}, gateways: map[string]fleet.Gateway{},
-		returned: map[string]time.Time{}, rooms: map[string]regionRoom{},
+		restoredAt: map[string]time.Time{}, capacities: map[string]regionCapacity{},
 	}
 }
 
-// takeEndpoint takes a record; one that an earlier control daemon knew better stays.
-func (b *beliefs) takeEndpoint(e fleet.Endpoint) (changed bool) {
-	old, known := b.endpoints[e.ID]
+// updateEndpoint stores a record unless it is older than the known one, which another control daemon may have sent. It
+// reports whether the endpoint's state or incarnation changed.
+func (st *fleetState) updateEndpoint(e fleet.Endpoint) (changed bool) {
+	old, known := st.endpoints[e.ID]
 	if known && (e.Born < old.Born || e.Born == old.Born && (old.State == fleet.Gone || e.Sequence < old.Sequence && e.State != fleet.Gone)) {
 		return false
 	}
-	b.endpoints[e.ID] = e
+	st.endpoints[e.ID] = e
 	return !known || old.State != e.State || old.Born != e.Born
 }
 
-// takeDocument takes a newer document into force; an error says that it cannot be read, and the old one stays.
-func (b *beliefs) takeDocument(d configuration.Document) (bool, error) {
-	if d.Version <= b.document.Version {
+// updateDocument puts a newer document into force. If it cannot be decoded, the error is returned and the old one stays
+// in force.
+func (st *fleetState) updateDocument(d configuration.Document) (bool, error) {
+	if d.Version <= st.document.Version {
 		return false, nil
 	}
-	table, err := b.cfg.Decode(d)
+	table, err := st.cfg.Decode(d)
 	if err != nil {
 		return false, err
 	}
-	b.document, b.table = d, table
+	st.document, st.table = d, table
 	return true, nil
 }
 
-// takeEvacuations takes the evacuated domains; those that were taken back count as cold for a while, as their
-// endpoints may have been restarted meanwhile.
-func (b *beliefs) takeEvacuations(now time.Time, evacuated []string) {
-	for _, domain := range b.evacuated {
+// updateEvacuations replaces the evacuated failure domains. The endpoints of a restored domain count as cold for a
+// while, as they may have been restarted meanwhile.
+func (st *fleetState) updateEvacuations(now time.Time, evacuated []string) {
+	for _, domain := range st.evacuated {
 		if !slices.Contains(evacuated, domain) {
-			b.returned[domain] = now
+			st.restoredAt[domain] = now
 		}
 	}
-	b.evacuated = evacuated
+	st.evacuated = evacuated
 }
 
-// forgetAfter is the silence after which an endpoint that the control daemons no longer name is forgotten.
-const forgetAfter = 2 * time.Minute
+// endpointTTL is the age of its last heartbeat above which an endpoint that the control daemons no longer list is
+// removed.
+const endpointTTL = 2 * time.Minute
 
-// refreshPeriod is how often a whole view is made although nothing was told that asks for it: cold times end.
-const refreshPeriod = 500 * time.Millisecond
+// fullRefreshPeriod is the interval at which a full view is built even without a relevant update, because cold times
+// end.
+const fullRefreshPeriod = 500 * time.Millisecond
 
-// refresh returns the view after an update. One that tells of rooms alone, as most do, needs no other table made anew.
-func (b *beliefs) refresh(now time.Time, u *wiregen.FleetUpdate, before *view) *view {
-	news := len(u.GetEndpoints()) > 0 || len(u.GetGateways()) > 0 || u.GetEvacuationsTold() || before.table != b.table
-	if news || now.Sub(b.viewed) > refreshPeriod {
-		b.viewed = now
-		return b.view(now)
+// refresh returns the view after an update. Most updates carry capacities alone and leave the other tables unchanged.
+func (st *fleetState) refresh(now time.Time, u *wiregen.FleetUpdate, before *view) *view {
+	changed := len(u.GetEndpoints()) > 0 || len(u.GetGateways()) > 0 || u.GetEvacuationsTold() || before.table != st.table
+	if changed || now.Sub(st.fullViewAt) > fullRefreshPeriod {
+		st.fullViewAt = now
+		return st.view(now)
 	}
 	v := *before
-	v.rooms = maps.Clone(b.rooms)
+	v.capacities = maps.Clone(st.capacities)
 	return &v
 }
 
-// view returns what is believed now.
-func (b *beliefs) view(now time.Time) *view {
+// view builds a full view of the state at a time, and removes expired endpoints.
+func (st *fleetState) view(now time.Time) *view {
 	v := &view{
-		table: b.table, endpoints: map[string][]fleet.Endpoint{}, rooms: maps.Clone(b.rooms),
+		table: st.table, endpoints: map[string][]fleet.Endpoint{}, capacities: maps.Clone(st.capacities),
 	}
-	for id, e := range b.endpoints {
-		if now.Sub(e.Heard) > forgetAfter {
-			delete(b.endpoints, id)
+	for id, e := range st.endpoints {
+		if now.Sub(e.Heard) > endpointTTL {
+			delete(st.endpoints, id)
 			continue
 		}
 		if e.State != fleet.Ready {
 			continue
 		}
-		if b.cfg.Regions[e.FailureDomain] != b.cfg.Region || slices.Contains(b.evacuated, e.FailureDomain) {
+		if st.cfg.Regions[e.FailureDomain] != st.cfg.Region || slices.Contains(st.evacuated, e.FailureDomain) {
 			continue
 		}
-		v.endpoints[e.Service] = append(v.endpoints[e.Service], b.chill(e))
+		v.endpoints[e.Service] = append(v.endpoints[e.Service], st.withRestoreColdTime(e))
 	}
 	for _, all := range v.endpoints {
 		slices.SortFunc(all, func(x, y fleet.Endpoint) int { return strings.Compare(x.ID, y.ID) })
 	}
-	for _, g := range b.gateways {
+	for _, g := range st.gateways {
 		v.gateways = append(v.gateways, g)
 	}
 	slices.SortFunc(v.gateways, func(x, y fleet.Gateway) int { return strings.Compare(x.Name, y.Name) })
 	return v
 }
 
-// chill makes an endpoint cold whose domain was taken back a moment ago.
-func (b *beliefs) chill(e fleet.Endpoint) fleet.Endpoint {
-	at, ok := b.returned[e.FailureDomain]
-	if !ok || b.table == nil {
+// withRestoreColdTime returns an endpoint that counts as cold until the cold time after the restoring of its failure
+// domain is over.
+func (st *fleetState) withRestoreColdTime(e fleet.Endpoint) fleet.Endpoint {
+	restored, ok := st.restoredAt[e.FailureDomain]
+	if !ok || st.table == nil {
 		return e
 	}
-	s := b.table.Service(e.Service)
+	s := st.table.Service(e.Service)
 	if s == nil {
 		return e
 	}
-	if until := at.Add(s.ColdTime); until.After(e.ColdUntil) {
+	if until := restored.Add(s.ColdTime); until.After(e.ColdUntil) {
 		e.ColdUntil = until
 	}
 	return e
