--- a/control/changes.go
+++ b/control/changes.go
@@ -12,8 +12,8 @@
 	"arbutusreel/wiregen"
 )
 
-// apply proposes another inventory.
-func (c *Control) apply(r *http.Request) (proto.Message, error) {
+// applyInventory proposes a whole inventory as the next revision.
+func (c *Control) applyInventory(r *http.Request) (proto.Message, error) {
 	m := &wiregen.ApplyRequest{}
 	if err := c.decode(r, m); err != nil {
 		return nil, err
@@ -25,17 +25,17 @@
 	if err != nil {
 		return nil, invalidInventory(err)
 	}
-	c.changing.RLock()
-	defer c.changing.RUnlock()
+	c.inventoryMu.RLock()
+	defer c.inventoryMu.RUnlock()
 	change := configuration.Change{
 		ID: m.GetChangeId(), Expected: m.GetExpectedRevision(), Inventory: inv, Operator: m.GetOperator(), At: c.now(),
 	}
 	answer, err := c.store.Propose(r.Context(), change)
-	return c.decided(change, answer, err)
+	return c.reportDecision(change, answer, err)
 }
 
-// patch proposes the inventory in force with parts of it changed.
-func (c *Control) patch(r *http.Request) (proto.Message, error) {
+// patchInventory proposes the inventory in force with a patch applied.
+func (c *Control) patchInventory(r *http.Request) (proto.Message, error) {
 	m := &wiregen.PatchRequest{}
 	if err := c.decode(r, m); err != nil {
 		return nil, err
@@ -43,26 +43,27 @@
 	if err := checkChangeID(m.GetChangeId()); err != nil {
 		return nil, err
 	}
-	c.changing.Lock()
-	defer c.changing.Unlock()
+	c.inventoryMu.Lock()
+	defer c.inventoryMu.Unlock()
 	ctx := r.Context()
 	if err := c.store.Confirm(ctx); err != nil {
 		return nil, err
 	}
 	change := configuration.Change{ID: m.GetChangeId(), Expected: m.GetExpectedRevision(), Operator: m.GetOperator(), At: c.now()}
 	if answer, ok, err := c.store.Answered(ctx, change.ID); ok || err != nil {
-		return c.decided(change, answer, err)
+		return c.reportDecision(change, answer, err)
 	}
-	change, err := c.patched(change, wire.DecodePatch(m))
+	change, err := c.withPatch(change, wire.DecodePatch(m))
 	if err != nil {
 		return nil, err
 	}
 	answer, err := c.store.Propose(ctx, change)
-	return c.decided(change, answer, err)
+	return c.reportDecision(change, answer, err)
 }
 
-// patched returns the change with the patched inventory; without an expected revision it expects the one in force.
-func (c *Control) patched(change configuration.Change, p inventory.Patch) (configuration.Change, error) {
+// withPatch returns the change with the patched inventory. A change without an expected revision expects the revision
+// in force.
+func (c *Control) withPatch(change configuration.Change, p inventory.Patch) (configuration.Change, error) {
 	current := c.store.Current()
 	if change.Expected == 0 {
 		change.Expected = current.Revision
@@ -90,8 +91,8 @@
 	return problem.New(problem.InvalidInventory, http.StatusUnprocessableEntity, "%s", err.Error())
 }
 
-// decided logs the decision on a change and returns its answer; a refusal is a *problem.Problem.
-func (c *Control) decided(change configuration.Change, answer configuration.Answer, err error) (proto.Message, error) {
+// reportDecision logs the decision on a change and returns the reply; a refused change returns a *problem.Problem.
+func (c *Control) reportDecision(change configuration.Change, answer configuration.Answer, err error) (proto.Message, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/control/codec.go
+++ b/control/codec.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// decodeMessage returns the message of another voter; one that no voter sends returns *RecordError.
+// decodeMessage decodes a message from another voter; a message that violates the protocol returns *RecordError.
 func decodeMessage(m *wiregen.ConsensusMessage) (consensus.Message, error) {
 	decoded := consensus.Message{
 		Kind: consensus.MessageKind(m.GetKind()), From: decodeID(m.GetFrom()), FromAddress: m.GetFromAddress(), To: decodeID(m.GetTo()), Term: m.GetTerm(),
@@ -89,7 +89,8 @@
 	return decoded, nil
 }
 
-// marshal encodes m; messages made of scalars and messages always can be.
+// marshal encodes m deterministically. Encoding cannot fail for the messages of this package, whose fields are
+// scalars and messages.
 func marshal(m proto.Message) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
--- a/control/config.go
+++ b/control/config.go
@@ -7,7 +7,7 @@
 	"arbutusreel/keys"
 )
 
-// Config is what a control daemon needs to know at its start.
+// Config holds the start-up configuration of a control daemon.
 type Config struct {
 	Name            string
 	Region          string
@@ -16,11 +16,11 @@
 	OperatorAddress string
 	Voters          []string
 	Join            bool
-	// Seeds are peer addresses of control daemons through which this one asks to become a member whenever it hears no
-	// leader; empty leaves the members to the operators.
+	// Seeds are the peer addresses of control daemons that this one asks for membership whenever it has no leader.
+	// With no seeds, only operators change the membership.
 	Seeds []string
-	// ToleratedDisks is the number of disks that may be lost at once; members are never removed by the leader below
-	// twice as many and one.
+	// ToleratedDisks is the number of disks that may be lost at once. The leader removes no unresponsive voter if
+	// fewer than 2*ToleratedDisks+1 voters would remain.
 	ToleratedDisks      int
 	DataFolder          string
 	OperatorTokenDigest string
--- a/control/control.go
+++ b/control/control.go
@@ -20,74 +20,75 @@
 	"arbutusreel/wiregen"
 )
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout limits the time for reading a request header.
 const headerTimeout = 10 * time.Second
 
-// Control is one control daemon.
+// Control is a control daemon.
 type Control struct {
 	wiregen.UnimplementedConsensusServer
 	wiregen.UnimplementedFleetServer
 
-	cfg    Config
-	log    zerolog.Logger
-	now    func() time.Time
-	hub    *relay.Hub
-	quorum *quorum
-	store  Store
-	direct *direct
-	fleet  *fleetState
-	peers  *peers
-	joined joined
-	// changing is held for reading by a change of the whole inventory, and for writing by a patch, which is decided alone.
-	changing sync.RWMutex
-	done     chan struct{}
+	cfg         Config
+	log         zerolog.Logger
+	now         func() time.Time
+	hub         *relay.Hub
+	quorum      *quorum
+	store       Store
+	followers   *followers
+	fleet       *fleetState
+	peers       *peers
+	recentJoins recentJoins
+	// inventoryMu is held for reading while a whole inventory is proposed and for writing while a patch is, so that
+	// no other change through this daemon comes between a patch's read and its proposal.
+	inventoryMu sync.RWMutex
+	done        chan struct{}
 }
 
-// New returns a control daemon that runs when Run is called.
+// New returns a control daemon that starts when Run is called.
 func New(cfg Config, log zerolog.Logger, now func() time.Time) *Control {
-	return &Control{cfg: cfg, log: log, now: now, hub: relay.NewHub(cfg.Name, now), direct: newDirect(), fleet: newFleetState(now), done: make(chan struct{})}
+	return &Control{cfg: cfg, log: log, now: now, hub: relay.NewHub(cfg.Name, now), followers: newFollowers(), fleet: newFleetState(now), done: make(chan struct{})}
 }
 
-// Done is closed when the daemon has stopped.
+// Done returns a channel that is closed when the daemon has stopped.
 func (c *Control) Done() <-chan struct{} { return c.done }
 
-// Run serves until ctx ends. An address that cannot be served, a data folder
-// that cannot be read and a disk that fails are returned as errors.
+// Run serves until ctx ends. It returns an error if an address cannot be listened on, the data folder cannot be read
+// or the disk fails.
 func (c *Control) Run(ctx context.Context) error { return c.RunOpened(ctx, make(chan struct{})) }
 
-// RunOpened is Run; it closes opened once the daemon takes calls.
+// RunOpened is like Run and closes opened once the daemon accepts calls.
 func (c *Control) RunOpened(ctx context.Context, opened chan<- struct{}) error {
 	defer close(c.done)
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	folder, err := journal.OpenFolder(c.cfg.DataFolder)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = folder.Close() }()
-	links := newLinks(work, c.cfg.Keys, c.log)
+	links := newLinks(workCtx, c.cfg.Keys, c.log)
 	c.peers = newPeers(c.cfg.Keys)
 	defer c.peers.close()
 	if err := c.open(folder, links); err != nil {
 		return err
 	}
-	servers, err := c.listen(ctx, work.Done())
+	servers, err := c.listen(ctx, workCtx.Done())
 	if err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
 	servers.start(&wg, c.log)
 	failed := make(chan error, 1)
-	wg.Go(func() { failed <- c.quorum.run(work) })
-	wg.Go(func() { c.watchLeader(work) })
-	wg.Go(func() { c.place(work) })
-	wg.Go(func() { c.runFleet(work) })
+	wg.Go(func() { failed <- c.quorum.run(workCtx) })
+	wg.Go(func() { c.reportLeaderAge(workCtx) })
+	wg.Go(func() { c.runPlacement(workCtx) })
+	wg.Go(func() { c.runFleet(workCtx) })
 	c.log.Info().Str("operatorAddress", c.cfg.OperatorAddress).Str("disk", c.quorum.disk.identity).
 		Int64("revision", c.store.Current().Revision).Msg("started")
 	close(opened)
 	select {
 	case <-ctx.Done():
-		c.handOver(work)
+		c.transferLeadership(workCtx)
 	case err = <-failed:
 	}
 	stop()
@@ -98,7 +99,7 @@
 	return err
 }
 
-// open reads the data folder and makes the voter.
+// open reads the data folder and creates the voter.
 func (c *Control) open(files journal.Files, l *links) error {
 	if !c.cfg.Join && !slices.ContainsFunc(c.cfg.Voters, func(v string) bool { return strings.HasPrefix(v, c.cfg.Name+"=") }) {
 		return &VoterMissingError{Name: c.cfg.Name, Voters: c.cfg.Voters}
@@ -107,8 +108,8 @@
 	if err != nil {
 		return err
 	}
-	accepted := func(revision int64, whole []byte) { c.hub.Put(revision, whole) }
-	if c.quorum, err = newQuorum(c.cfg, d, restored, l, accepted, c.log, c.now); err != nil {
+	onAccepted := func(revision int64, encoded []byte) { c.hub.Put(revision, encoded) }
+	if c.quorum, err = newQuorum(c.cfg, d, restored, l, onAccepted, c.log, c.now); err != nil {
 		return err
 	}
 	c.store = c.quorum
@@ -116,8 +117,9 @@
 	return nil
 }
 
-// watchLeader tells the followers how old this voter's word of a leader is.
-func (c *Control) watchLeader(ctx context.Context) {
+// reportLeaderAge passes the time of the last contact with a leader to the hub, which reports its age to the
+// followers.
+func (c *Control) reportLeaderAge(ctx context.Context) {
 	t := time.NewTicker(c.cfg.Heartbeat)
 	defer t.Stop()
 	for {
@@ -132,8 +134,9 @@
 	}
 }
 
-// handOver gives leadership away before a planned stop and lets the message leave.
-func (c *Control) handOver(ctx context.Context) {
+// transferLeadership hands leadership to another voter before a planned stop. It waits up to the election timeout
+// until a new leader is known, so that the transfer message is sent before the links close.
+func (c *Control) transferLeadership(ctx context.Context) {
 	if !c.store.Status().Leads {
 		return
 	}
@@ -145,7 +148,7 @@
 	}
 }
 
-// servers are the daemon's listeners with what serves them.
+// servers holds the daemon's listeners and the servers on them.
 type servers struct {
 	operators        *http.Server
 	operatorListener net.Listener
@@ -170,11 +173,11 @@
 		peers: grpc.NewServer(
 			grpc.MaxRecvMsgSize(maxMessageBytes),
 			grpc.Creds(c.cfg.Keys.Server()),
-			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: linkLeastPing, PermitWithoutStream: true}),
+			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: linkMinPing, PermitWithoutStream: true}),
 		),
 		peerListener: peers,
 	}
-	wiregen.RegisterConfigurationServer(s.peers, relay.NewServer(c.hub, c.heardFollower, done))
+	wiregen.RegisterConfigurationServer(s.peers, relay.NewServer(c.hub, c.acceptFollower, done))
 	wiregen.RegisterConsensusServer(s.peers, c)
 	wiregen.RegisterFleetServer(s.peers, fleetServer{Control: c})
 	return s, nil
@@ -183,13 +186,14 @@
 func (s *servers) start(wg *sync.WaitGroup, log zerolog.Logger) {
 	wg.Go(func() {
 		if err := s.operators.Serve(s.operatorListener); !errors.Is(err, http.ErrServerClosed) {
-			log.Error().Err(err).Msg("operatorServerFailed")
+			log.Error().Err(err).Msg("operator server failed")
 		}
 	})
 	wg.Go(func() { _ = s.peers.Serve(s.peerListener) })
 }
 
-// stop answers the operators' requests in progress and cuts the peers' streams, which are resumed elsewhere.
+// stop waits up to decisionTimeout for operators' requests in progress and closes the peers' streams, which their
+// clients reopen at other daemons.
 func (s *servers) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), decisionTimeout)
 	defer cancel()
--- a/control/demand.go
+++ b/control/demand.go
@@ -13,7 +13,8 @@
 	"arbutusreel/wiregen"
 )
 
-// demandKey is what demand is forecast for; allowed is the list of regions that the labels allow.
+// demandKey identifies one demand forecast; allowed is the comma-separated list of the regions that the request
+// labels allow.
 type demandKey struct {
 	region  string
 	service string
@@ -21,50 +22,51 @@
 	allowed string
 }
 
-// counter is one entry's count at its last reply.
-type counter struct {
+// tokenCounter holds the cumulative token counts of an entry's last reply.
+type tokenCounter struct {
 	incarnation int64
 	tokens      map[demandKey]float64
 }
 
-// demandLog turns the counts of entries into forecasts.
-type demandLog struct {
-	counters  map[string]counter
+// demandForecaster derives demand forecasts from the cumulative token counts of the entries.
+type demandForecaster struct {
+	counters  map[string]tokenCounter
 	forecasts map[demandKey]placement.Forecast
 }
 
-func newDemandLog() *demandLog {
-	return &demandLog{counters: map[string]counter{}, forecasts: map[demandKey]placement.Forecast{}}
+func newDemandForecaster() *demandForecaster {
+	return &demandForecaster{counters: map[string]tokenCounter{}, forecasts: map[demandKey]placement.Forecast{}}
 }
 
-// observe takes the replies of one round; the first reply of an entry's incarnation is the base of its counts.
-func (d *demandLog) observe(now time.Time, replies []*wiregen.RegionReply) {
-	asked := map[demandKey]float64{}
+// observe adds the replies of one round. The first reply of an entry's incarnation only sets the baseline of its
+// counts.
+func (d *demandForecaster) observe(now time.Time, replies []*wiregen.RegionReply) {
+	increments := map[demandKey]float64{}
 	for _, reply := range replies {
 		tokens := map[demandKey]float64{}
 		for _, m := range reply.GetDemands() {
-			tokens[keyOf(reply.GetRegion(), m)] = m.GetTokens()
+			tokens[newDemandKey(reply.GetRegion(), m)] = m.GetTokens()
 		}
 		last, known := d.counters[reply.GetName()]
 		for k, count := range tokens {
-			asked[k] += 0
+			increments[k] += 0
 			if known && last.incarnation == reply.GetIncarnation() {
-				asked[k] += count - last.tokens[k]
+				increments[k] += count - last.tokens[k]
 			}
 		}
-		d.counters[reply.GetName()] = counter{incarnation: reply.GetIncarnation(), tokens: tokens}
+		d.counters[reply.GetName()] = tokenCounter{incarnation: reply.GetIncarnation(), tokens: tokens}
 	}
-	for k, tokens := range asked {
+	for k, tokens := range increments {
 		d.forecasts[k] = d.forecasts[k].Observe(now, tokens)
 	}
 }
 
-func keyOf(region string, m *wiregen.ModelDemand) demandKey {
+func newDemandKey(region string, m *wiregen.ModelDemand) demandKey {
 	return demandKey{region: region, service: m.GetService(), model: m.GetModel(), allowed: strings.Join(m.GetAllowedRegions(), ",")}
 }
 
-// forecast returns the demand expected when a change that is decided now is done.
-func (d *demandLog) forecast(now time.Time) []placement.Demand {
+// forecast returns the demand expected at forecastHorizon after now.
+func (d *demandForecaster) forecast(now time.Time) []placement.Demand {
 	demands := make([]placement.Demand, 0, len(d.forecasts))
 	for k, f := range d.forecasts {
 		demands = append(demands, placement.Demand{
@@ -72,7 +74,7 @@
 			Service:         k.service,
 			Model:           k.model,
 			AllowedRegions:  strings.Split(k.allowed, ","),
-			TokensPerSecond: f.Rate(now.Add(forecastAhead)),
+			TokensPerSecond: f.Rate(now.Add(forecastHorizon)),
 		})
 	}
 	slices.SortFunc(demands, func(a, b placement.Demand) int {
@@ -81,11 +83,11 @@
 	return demands
 }
 
-// forecastAhead is how far ahead demand is forecast.
-const forecastAhead = 30 * time.Second
+// forecastHorizon is how far ahead demand is forecast, as a change that is decided now takes effect later.
+const forecastHorizon = 30 * time.Second
 
-// endpointsOf returns the newest state of each endpoint that the replies hold.
-func endpointsOf(now time.Time, replies []*wiregen.RegionReply) map[string]membership.Endpoint {
+// newestEndpoints returns the newest state of each endpoint in the replies, by incarnation and then sequence.
+func newestEndpoints(now time.Time, replies []*wiregen.RegionReply) map[string]membership.Endpoint {
 	endpoints := map[string]membership.Endpoint{}
 	for _, reply := range replies {
 		for _, m := range reply.GetEndpoints() {
@@ -102,19 +104,20 @@
 	return endpoints
 }
 
-// heldNames returns the names of what the endpoint serves, with the versions that it knows.
-func heldNames(e membership.Endpoint) []string {
+// versionedModels returns the names of the models that the endpoint serves, with their versions where these are
+// known.
+func versionedModels(e membership.Endpoint) []string {
 	names := slices.Clone(e.Models)
-	for _, held := range e.Versions {
-		if i := slices.Index(names, inventory.ParseName(held).Served()); i >= 0 {
-			names[i] = held
+	for _, versioned := range e.Versions {
+		if i := slices.Index(names, inventory.ParseName(versioned).Served()); i >= 0 {
+			names[i] = versioned
 		}
 	}
 	return names
 }
 
-// modelsOf returns the number of models among the names; adapters are left out.
-func modelsOf(names []string) int {
+// countModels returns the number of models among the names, without adapters.
+func countModels(names []string) int {
 	n := 0
 	for _, name := range names {
 		if inventory.ParseName(name).Adapter == "" {
@@ -124,27 +127,28 @@
 	return n
 }
 
-// known returns the endpoints as placement sees them; one holds as many models as it was ever seen to hold or load.
-func (p *placer) known(endpoints map[string]membership.Endpoint) []placement.Endpoint {
+// placementEndpoints converts the endpoints for placement. The capacity of an endpoint is the largest number of
+// models that it was observed to hold or load at once.
+func (p *placer) placementEndpoints(endpoints map[string]membership.Endpoint) []placement.Endpoint {
 	all := make([]placement.Endpoint, 0, len(endpoints))
 	for name, e := range endpoints {
-		p.size[name] = max(p.size[name], modelsOf(e.Models)+modelsOf(e.Loading), 1)
+		p.observedCapacity[name] = max(p.observedCapacity[name], countModels(e.Models)+countModels(e.Loading), 1)
 		all = append(all, placement.Endpoint{
 			Name:            name,
 			Region:          e.Region,
 			FailureDomain:   e.FailureDomain,
 			Service:         e.Service,
-			Models:          heldNames(e),
+			Models:          versionedModels(e),
 			Loading:         e.Loading,
 			Order:           fencing.Number{Term: e.OrderTerm, Sequence: e.OrderSequence},
-			Capacity:        p.size[name],
+			Capacity:        p.observedCapacity[name],
 			TokensPerSecond: e.Load.TokensPerSecond,
 			Leaving:         e.Leaving,
 		})
 	}
-	for name := range p.size {
+	for name := range p.observedCapacity {
 		if _, ok := endpoints[name]; !ok {
-			delete(p.size, name)
+			delete(p.observedCapacity, name)
 		}
 	}
 	slices.SortFunc(all, func(a, b placement.Endpoint) int { return strings.Compare(a.Name, b.Name) })
--- a/control/disk.go
+++ b/control/disk.go
@@ -11,17 +11,17 @@
 	"arbutusreel/wiregen"
 )
 
-// disk persists what a voter must remember.
+// disk persists the voter's durable state.
 type disk struct {
 	journal  *journal.Journal
 	identity string
-	// commit is the highest committed index that was written.
+	// commit is the highest commit index written.
 	commit int64
-	// compacted is the size of the journal after it was last replaced.
-	compacted int64
+	// compactedSize is the size of the journal in bytes after the last compaction.
+	compactedSize int64
 }
 
-// openDisk opens the journal in the files and returns what the voter remembers; an empty one gets a random identity.
+// openDisk opens the journal in the files and returns the persisted state. A new journal gets a random identity.
 func openDisk(files journal.Files) (*disk, consensus.Restored, error) {
 	j, contents, err := journal.Open(files, rand.Text())
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &disk{journal: j, identity: contents.Identity}, r, err
 }
 
-// restore returns what a journal holds; one that no voter has written returns *RecordError.
+// restore decodes the contents of a journal; contents that no voter can have written return *RecordError.
 func restore(contents journal.Contents) (consensus.Restored, error) {
 	var r consensus.Restored
 	if contents.Snapshot != nil {
@@ -49,7 +49,7 @@
 		if hard := m.GetHardState(); hard != nil {
 			r.HardState = consensus.HardState{Term: hard.GetTerm(), Vote: decodeID(hard.GetVote())}
 		}
-		r.Entries = replaceFrom(r.Entries, decodeEntries(m.GetEntries()))
+		r.Entries = truncateAndAppend(r.Entries, decodeEntries(m.GetEntries()))
 		r.Commit = max(r.Commit, m.GetCommit())
 	}
 	if err := r.Check(); err != nil {
@@ -58,20 +58,21 @@
 	return r, nil
 }
 
-// replaceFrom appends entries in place of those from the first one's index on.
-func replaceFrom(entries, with []consensus.Entry) []consensus.Entry {
-	if len(with) == 0 {
+// truncateAndAppend discards the entries from the index of the first appended one on and appends the new ones.
+func truncateAndAppend(entries, appended []consensus.Entry) []consensus.Entry {
+	if len(appended) == 0 {
 		return entries
 	}
-	n, _ := slices.BinarySearchFunc(entries, with[0].Index, func(e consensus.Entry, index int64) int { return int(e.Index - index) })
-	return append(entries[:n:n], with...)
+	n, _ := slices.BinarySearchFunc(entries, appended[0].Index, func(e consensus.Entry, index int64) int { return int(e.Index - index) })
+	return append(entries[:n:n], appended...)
 }
 
-// save makes what must be persisted last. A higher committed index is written along, and without a sync if there is
-// nothing else: a restarted voter that does not know it learns it from the next leader.
+// save persists what the actions require and syncs it. A higher commit index is written along with it. If only the
+// commit index changed, it is written without a sync: a voter that loses it in a restart learns it from the next
+// leader.
 func (d *disk) save(a consensus.Actions, hard consensus.HardState, commit int64) error {
 	if a.Install != nil {
-		return d.replace(consensus.Restored{HardState: hard, Snapshot: a.Install, Entries: a.Entries})
+		return d.compact(consensus.Restored{HardState: hard, Snapshot: a.Install, Entries: a.Entries})
 	}
 	if !a.Persists() && commit == d.commit {
 		return nil
@@ -86,14 +87,14 @@
 	return d.journal.Sync()
 }
 
-// replace makes a snapshot and what follows it the whole journal.
-func (d *disk) replace(r consensus.Restored) error {
+// compact replaces the journal by a snapshot and the entries that follow it.
+func (d *disk) compact(r consensus.Restored) error {
 	if err := d.journal.Compact(marshal(encodeSnapshot(r.Snapshot)), encodeRecord(&r.HardState, r.Entries, r.Commit)); err != nil {
 		return err
 	}
-	d.compacted = d.journal.Size()
+	d.compactedSize = d.journal.Size()
 	return nil
 }
 
-// grown returns the number of bytes that were appended since the journal was last replaced.
-func (d *disk) grown() int64 { return d.journal.Size() - d.compacted }
+// growth returns the number of bytes appended since the last compaction.
+func (d *disk) growth() int64 { return d.journal.Size() - d.compactedSize }
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -8,7 +8,7 @@
 	"arbutusreel/journal"
 )
 
-// TestRestoreRefuses gives a voter journals that no voter has written, though each record can be read.
+// TestRestoreRefuses checks that journals are refused whose records can be decoded but violate the invariants of a log.
 func TestRestoreRefuses(t *testing.T) {
 	c := fuzzContents()
 	hard := &consensus.HardState{Term: 2}
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -12,87 +12,91 @@
 )
 
 const (
-	// gatewayLease is how long a gateway is told to callers after its last sign of life: six missed signs.
+	// gatewayLease is how long a gateway is listed to callers after its last heartbeat: six missed heartbeats.
 	gatewayLease = 3 * time.Second
-	// fleetPeriod is how often changes are looked for; what a caller waits for passes on within it.
+	// fleetPeriod is how often a stream checks for changes to send; it bounds the delay that a control daemon adds.
 	fleetPeriod = 50 * time.Millisecond
-	// fleetSignOfLife is how often a stream without changes says that its sender is alive.
-	fleetSignOfLife = 500 * time.Millisecond
-	// fleetSilence is the silence after which a stream is given up: three signs of life.
-	fleetSilence = 1500 * time.Millisecond
-	// renewalPeriod is how often heartbeats that said nothing new are told to the other control daemons.
+	// fleetHeartbeat is how often a stream without changes sends a heartbeat.
+	fleetHeartbeat = 500 * time.Millisecond
+	// fleetSendTimeout is the time after which a blocked send ends the stream: three heartbeats.
+	fleetSendTimeout = 1500 * time.Millisecond
+	// renewalPeriod is how often endpoint heartbeats without a change are reported to the other control daemons.
 	renewalPeriod = 2 * time.Second
-	// leaderSilence is the age of the word of a leader after which this daemon no longer counts as current.
-	leaderSilence = 1200 * time.Millisecond
-	// roomAge is the age after which what a region has left to give is no longer told.
-	roomAge = 3 * time.Second
+	// leaderMaxAge is the time since the last contact with a leader after which this daemon no longer counts as
+	// current.
+	leaderMaxAge = 1200 * time.Millisecond
+	// capacityMaxAge is the age after which the reported free capacity of a region expires and is no longer sent.
+	capacityMaxAge = 3 * time.Second
 )
 
-// regionRoom is what a gateway told of its region.
-type regionRoom struct {
-	room  []*wiregen.ServiceRoom
-	heard time.Time
-	own   bool
+// regionCapacity is the free capacity of a region as reported by one of its gateways; local reports whether the
+// gateway reported it to this daemon.
+type regionCapacity struct {
+	services   []*wiregen.ServiceRoom
+	receivedAt time.Time
+	local      bool
 }
 
-// fleetState is what this daemon knows of endpoints and gateways; it is safe for concurrent use.
+// fleetState holds the known endpoints, gateways and regional capacities; it is safe for concurrent use.
 type fleetState struct {
 	now func() time.Time
 
-	mu        sync.Mutex
-	endpoints *fleet.Endpoints
-	gateways  *fleet.Gateways
-	rooms     map[string]regionRoom
-	// own holds the endpoints and gateways that this daemon heard of itself.
-	ownEndpoints map[string]bool
-	ownGateways  map[string]bool
+	mu         sync.Mutex
+	endpoints  *fleet.Endpoints
+	gateways   *fleet.Gateways
+	capacities map[string]regionCapacity
+	// localEndpoints and localGateways hold the names of those that report to this daemon directly. An endpoint is removed
+	// when a newer report about it arrives from another control daemon.
+	localEndpoints map[string]bool
+	localGateways  map[string]bool
 }
 
 func newFleetState(now func() time.Time) *fleetState {
 	return &fleetState{
-		now: now, endpoints: fleet.NewEndpoints(), gateways: fleet.NewGateways(gatewayLease), rooms: map[string]regionRoom{},
-		ownEndpoints: map[string]bool{}, ownGateways: map[string]bool{},
+		now: now, endpoints: fleet.NewEndpoints(), gateways: fleet.NewGateways(gatewayLease),
+		capacities: map[string]regionCapacity{}, localEndpoints: map[string]bool{}, localGateways: map[string]bool{},
 	}
 }
 
-// Announce takes the heartbeat of an endpoint.
+// Announce updates an endpoint from its heartbeat; an outdated heartbeat is dropped.
 func (c *Control) Announce(e fleet.Endpoint) {
 	c.fleet.mu.Lock()
 	old, known := c.fleet.endpoints.Get(e.ID)
-	taken := c.fleet.endpoints.Announce(e)
-	if taken {
-		c.fleet.ownEndpoints[e.ID] = true
+	applied := c.fleet.endpoints.Announce(e)
+	if applied {
+		c.fleet.localEndpoints[e.ID] = true
 	}
 	c.fleet.mu.Unlock()
-	if !taken {
-		c.log.Info().Str("endpoint", e.ID).Int64("sequence", e.Sequence).Int64("born", e.Born).Str("address", e.Address).Msg("oldHeartbeatDropped")
+	if !applied {
+		c.log.Info().Str("endpoint", e.ID).Int64("sequence", e.Sequence).Int64("born", e.Born).Str("address", e.Address).Msg("outdated heartbeat dropped")
 		return
 	}
 	if !known || old.State != e.State || old.Born != e.Born {
 		c.log.Info().Str("endpoint", e.ID).Str("service", e.Service).Str("address", e.Address).Str("domain", e.FailureDomain).
-			Str("state", e.State.String()).Int64("sequence", e.Sequence).Dur("coldFor", max(e.ColdUntil.Sub(e.Heard), 0)).Msg("endpointChanged")
+			Str("state", e.State.String()).Int64("sequence", e.Sequence).Dur("coldFor", max(e.ColdUntil.Sub(e.Heard), 0)).Msg("endpoint state changed")
 	}
 }
 
-// Depart takes the farewell of an endpoint; a born of zero means the incarnation that is known.
+// Depart marks an endpoint as gone after it announced its departure. A born of zero means the incarnation that is
+// known.
 func (c *Control) Depart(id string, born int64) {
 	c.fleet.mu.Lock()
-	departed := c.fleet.endpoints.Depart(c.now(), id, born)
-	if departed {
-		c.fleet.ownEndpoints[id] = true
+	applied := c.fleet.endpoints.Depart(c.now(), id, born)
+	if applied {
+		c.fleet.localEndpoints[id] = true
 	}
 	c.fleet.mu.Unlock()
-	c.log.Info().Str("endpoint", id).Int64("born", born).Bool("known", departed).Msg("endpointLeft")
+	c.log.Info().Str("endpoint", id).Int64("born", born).Bool("known", applied).Msg("endpoint left")
 }
 
-// Gateways returns the gateways that are in touch with a control daemon.
+// Gateways returns the gateways with a valid lease, whichever control daemon they are connected to.
 func (c *Control) Gateways() []fleet.Gateway {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	return c.fleet.gateways.Live()
 }
 
-// Document returns the newest routing document that this daemon knows of, which another one may have replaced.
+// Document returns the newest routing document known to this daemon; the quorum may have accepted a newer one.
 func (c *Control) Document() configuration.Document {
 	if c.quorum == nil {
 		return configuration.Document{}
@@ -100,7 +104,7 @@
 	return c.quorum.Orders().Document()
 }
 
-// Current reports whether this daemon has heard of the quorum's leader lately.
+// Current reports whether this daemon leads with a valid lease or has had recent contact with the leader.
 func (c *Control) Current() bool {
 	if c.quorum == nil {
 		return false
@@ -111,17 +115,18 @@
 		_, _, ok := c.quorum.Lease(now)
 		return ok
 	}
-	return status.Leader.Name != "" && now.Sub(status.Heard) < leaderSilence
+	return status.Leader.Name != "" && now.Sub(status.Heard) < leaderMaxAge
 }
 
-// runFleet expires what fell silent, keeps streams to the other control daemons and keeps this one a member.
+// runFleet expires endpoints and gateways, keeps a Share stream to each other control daemon and maintains this
+// daemon's membership.
 func (c *Control) runFleet(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	sharing := map[string]context.CancelFunc{}
-	wg.Go(func() { c.keepMember(ctx) })
-	wg.Go(func() { c.replaceSilent(ctx) })
-	for clock.Sleep(ctx, fleetSignOfLife) {
+	streams := map[string]context.CancelFunc{}
+	wg.Go(func() { c.maintainMembership(ctx) })
+	wg.Go(func() { c.replaceUnresponsive(ctx) })
+	for clock.Sleep(ctx, fleetHeartbeat) {
 		now := c.now()
 		c.fleet.mu.Lock()
 		c.fleet.endpoints.Expire(now)
@@ -133,25 +138,25 @@
 				continue
 			}
 			others[m.Address] = true
-			if sharing[m.Address] == nil {
+			if streams[m.Address] == nil {
 				shareCtx, cancel := context.WithCancel(ctx)
-				sharing[m.Address] = cancel
-				wg.Go(func() { c.shareWith(shareCtx, m.Address) })
+				streams[m.Address] = cancel
+				wg.Go(func() { c.maintainShareStream(shareCtx, m.Address) })
 			}
 		}
-		for address, cancel := range sharing {
+		for address, cancel := range streams {
 			if !others[address] {
 				cancel()
-				delete(sharing, address)
+				delete(streams, address)
 			}
 		}
 	}
-	for _, cancel := range sharing {
+	for _, cancel := range streams {
 		cancel()
 	}
 }
 
-// controlAddresses returns the peer addresses of the quorum's members, this one included.
+// controlAddresses returns the peer addresses of all members, including this one.
 func (c *Control) controlAddresses() []string {
 	var all []string
 	for _, m := range c.quorum.Status().Members {
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -17,7 +17,7 @@
 	"arbutusreel/problem"
 )
 
-// daemon is a control daemon that can be stopped and started again.
+// daemon is a control daemon that can be stopped and restarted.
 type daemon struct {
 	*Control
 	cfg  Config
@@ -50,8 +50,8 @@
 	return d
 }
 
-// system returns the settings of daemons that know the same seeds, of which the first founders found the quorum.
-func system(t *testing.T, founders, joiners int) []Config {
+// newConfigs returns the configurations of daemons with the same seeds; the first ones are the founding voters.
+func newConfigs(t *testing.T, founders, joiners int) []Config {
 	t.Helper()
 	var all []Config
 	var seeds, voters []string
@@ -73,28 +73,28 @@
 	return all
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-func put(t *testing.T, d *daemon, version int64, content string) {
+func putDocument(t *testing.T, d *daemon, version int64, content string) {
 	t.Helper()
-	until(t, "document decided", func() bool {
+	waitFor(t, "document decided", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		return d.PutDocument(ctx, configuration.Document{Version: version, Content: []byte(content)}) == nil
 	})
 }
 
-func newest(t *testing.T, d *daemon) configuration.Document {
+func readNewest(t *testing.T, d *daemon) configuration.Document {
 	t.Helper()
 	var got configuration.Document
-	until(t, "document read", func() bool {
+	waitFor(t, "document read", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var err error
@@ -106,16 +106,16 @@
 
 func (d *daemon) voters() int { return len(d.quorum.Status().Members.Voters()) }
 
-// TestQuorumFromSeeds founds a quorum from three seeds while two more daemons ask to join. Documents go by the highest
-// version, through any daemon; a daemon that lost its disk is a voter again, and knows what was accepted; and all know it
-// after all of them have restarted.
+// TestQuorumFromSeeds founds a quorum from three seeds while two more daemons request membership. The document with the
+// highest version wins, whichever daemon receives it. A daemon that lost its disk becomes a voter again and restores
+// the accepted state, and all daemons restore it after a restart of all of them.
 func TestQuorumFromSeeds(t *testing.T) {
-	cfgs := system(t, 3, 2)
+	cfgs := newConfigs(t, 3, 2)
 	daemons := make([]*daemon, len(cfgs))
 	for i := len(cfgs) - 1; i >= 0; i-- {
 		daemons[i] = start(t, cfgs[i])
 	}
-	until(t, "five voters everywhere", func() bool {
+	waitFor(t, "five voters everywhere", func() bool {
 		for _, d := range daemons {
 			if d.voters() != len(cfgs) || !d.Current() {
 				return false
@@ -124,20 +124,20 @@
 		return true
 	})
 	for i, d := range daemons {
-		put(t, d, int64(10+i), "newer")
-		put(t, d, int64(10+i), "other content under the same version")
-		put(t, d, 3, "older")
-		if got := newest(t, daemons[(i+1)%len(daemons)]); got.Version != int64(10+i) || string(got.Content) != "newer" {
+		putDocument(t, d, int64(10+i), "newer")
+		putDocument(t, d, int64(10+i), "other content under the same version")
+		putDocument(t, d, 3, "older")
+		if got := readNewest(t, daemons[(i+1)%len(daemons)]); got.Version != int64(10+i) || string(got.Content) != "newer" {
 			t.Errorf("version %d %q", got.Version, got.Content)
 		}
 	}
-	until(t, "evacuation decided", func() bool { return daemons[4].Evacuate(t.Context(), "d", false) == nil })
+	waitFor(t, "evacuation decided", func() bool { return daemons[4].Evacuate(t.Context(), "d", false) == nil })
 
 	daemons[1].stop()
 	lost := cfgs[1]
 	lost.DataFolder, lost.Join = t.TempDir(), true
 	daemons[1] = start(t, lost)
-	until(t, "the emptied daemon is a voter and current", func() bool {
+	waitFor(t, "the emptied daemon is a voter and current", func() bool {
 		return daemons[1].voters() == len(cfgs) && daemons[1].Current() && daemons[1].quorum.Orders().Document().Version == 14
 	})
 
@@ -148,43 +148,44 @@
 		daemons[i] = start(t, d.cfg)
 	}
 	for _, d := range daemons {
-		if got := newest(t, d); got.Version != 14 || string(got.Content) != "newer" {
+		if got := readNewest(t, d); got.Version != 14 || string(got.Content) != "newer" {
 			t.Errorf("after a restart of all: version %d %q", got.Version, got.Content)
 		}
-		until(t, "the evacuation is known", func() bool { return len(d.quorum.Orders().Evacuated()) == 1 })
+		waitFor(t, "the evacuation is known", func() bool { return len(d.quorum.Orders().Evacuated()) == 1 })
 	}
 }
 
-// TestRestartKnowsCommitted restarts one of three voters alone: without a quorum it answers no read, but has in force what
-// it knew to be accepted, for gateways that have nothing else.
+// TestRestartKnowsCommitted restarts one of three voters alone. Without a quorum it refuses reads, but it restores the
+// document that it knew to be committed, for gateways that can reach no other control daemon.
 func TestRestartKnowsCommitted(t *testing.T) {
-	cfgs := system(t, 3, 0)
+	cfgs := newConfigs(t, 3, 0)
 	var daemons []*daemon
 	for _, cfg := range cfgs {
 		daemons = append(daemons, start(t, cfg))
 	}
-	put(t, daemons[0], 7, "accepted")
-	until(t, "the document is in force everywhere", func() bool {
+	putDocument(t, daemons[0], 7, "accepted")
+	waitFor(t, "the document is in force everywhere", func() bool {
 		return daemons[0].quorum.Orders().Document().Version == 7 && daemons[1].quorum.Orders().Document().Version == 7 && daemons[2].quorum.Orders().Document().Version == 7
 	})
 	for _, d := range daemons {
 		d.stop()
 	}
 	alone := start(t, cfgs[2])
-	until(t, "the document is in force", func() bool { return alone.quorum.Orders().Document().Version == 7 })
+	waitFor(t, "the document is in force", func() bool { return alone.quorum.Orders().Document().Version == 7 })
 	_, err := alone.Newest(t.Context())
 	var p *problem.Problem
 	if !errors.As(err, &p) || p.Status != http.StatusServiceUnavailable {
 		t.Errorf("a read without a quorum was answered %v", err)
 	}
 	if alone.Current() {
-		t.Error("a voter without a leader calls itself current")
+		t.Error("a voter without a leader reports that it is current")
 	}
 }
 
-// TestSharedHeartbeats announces an endpoint at one daemon: all know it, and that it left.
+// TestSharedHeartbeats checks that all daemons receive the state of an endpoint that announces itself to one of them,
+// and its departure.
 func TestSharedHeartbeats(t *testing.T) {
-	cfgs := system(t, 3, 0)
+	cfgs := newConfigs(t, 3, 0)
 	var daemons []*daemon
 	for _, cfg := range cfgs {
 		daemons = append(daemons, start(t, cfg))
@@ -200,11 +201,11 @@
 	}
 	for sequence, want := range []fleet.State{fleet.Ready, fleet.Draining} {
 		daemons[0].Announce(fleet.Endpoint{ID: "e", Born: 1, Sequence: int64(sequence), Service: "s", Address: "10.0.0.1:1", State: want, Heard: time.Now()})
-		until(t, want.String()+" everywhere", func() bool { return state(daemons[1]) == want && state(daemons[2]) == want })
+		waitFor(t, want.String()+" everywhere", func() bool { return state(daemons[1]) == want && state(daemons[2]) == want })
 	}
 	daemons[1].Depart("e", 0)
-	until(t, "gone everywhere", func() bool { return state(daemons[0]) == fleet.Gone && state(daemons[2]) == fleet.Gone })
-	// A heartbeat that was held up does not bring it back.
+	waitFor(t, "gone everywhere", func() bool { return state(daemons[0]) == fleet.Gone && state(daemons[2]) == fleet.Gone })
+	// A delayed heartbeat does not bring it back.
 	daemons[2].Announce(fleet.Endpoint{ID: "e", Born: 1, Sequence: 9, Service: "s", Address: "10.0.0.1:1", Heard: time.Now()})
 	if state(daemons[2]) != fleet.Gone {
 		t.Error("a late heartbeat brought an endpoint back")
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -28,27 +28,27 @@
 	return members
 }
 
-// fuzzContents is the journal of a voter with a snapshot and two entries.
+// fuzzContents returns the journal of a voter with a snapshot and two entries.
 func fuzzContents() journal.Contents {
-	s := &consensus.Snapshot{Index: 3, Term: 1, Members: fuzzMembers(), Data: newMachine().snapshot()}
+	s := &consensus.Snapshot{Index: 3, Term: 1, Members: fuzzMembers(), Data: newStateMachine().snapshot()}
 	entries := []consensus.Entry{{Index: 4, Term: 2, Kind: consensus.TermEntry}, {Index: 5, Term: 2, Data: []byte("x")}}
 	return journal.Contents{Snapshot: marshal(encodeSnapshot(s)), Records: [][]byte{encodeRecord(&consensus.HardState{Term: 2}, entries, 0)}}
 }
 
-// restart returns a voter with what is in the journal; ok is false if the journal is refused.
+// restart returns a voter restored from the journal; ok is false if the journal is refused.
 func restart(c journal.Contents) (n *consensus.Node, ok bool) {
 	r, err := restore(c)
 	if err != nil {
 		return nil, false
 	}
 	if r.Snapshot != nil {
-		_, _ = restoreMachine(r.Snapshot.Data)
+		_, _ = restoreStateMachine(r.Snapshot.Data)
 	}
 	cfg := consensus.Config{Self: fuzzSelf, Address: "a", Heartbeat: 10 * time.Millisecond, ElectionTimeout: 100 * time.Millisecond}
 	return consensus.New(cfg, r, fuzzStart, rand.New(rand.NewPCG(1, 1))), true
 }
 
-// FuzzRestore checks that a voter starts from any journal that it does not refuse.
+// FuzzRestore checks that a voter starts from any journal that restore accepts.
 func FuzzRestore(f *testing.F) {
 	c := fuzzContents()
 	f.Add(c.Snapshot, c.Records[0])
@@ -74,7 +74,7 @@
 	})
 }
 
-// fuzzMessages are the messages of another voter, and some that none sends.
+// fuzzMessages returns messages from another voter, some of which violate the protocol.
 func fuzzMessages() []consensus.Message {
 	entries := []consensus.Entry{{Index: 6, Term: 3, Kind: consensus.TermEntry}, {Index: 7, Term: 3, Kind: consensus.MembersEntry, Members: fuzzMembers()}}
 	all := []consensus.Message{
@@ -95,7 +95,8 @@
 	return all
 }
 
-// FuzzMessage checks that a voter takes or refuses any two messages, and can start again from what it has written then.
+// FuzzMessage checks that a voter accepts or refuses any two messages, and can restore what it has persisted after
+// each.
 func FuzzMessage(f *testing.F) {
 	for _, m := range fuzzMessages() {
 		f.Add(false, marshal(encodeMessage(m)), marshal(encodeMessage(m)))
@@ -140,7 +141,8 @@
 	})
 }
 
-// FuzzCommand checks that any command is decided or refused, and that the state survives its snapshot.
+// FuzzCommand checks that any command is decided or refused, and that the state is restored from its snapshot
+// unchanged.
 func FuzzCommand(f *testing.F) {
 	b, err := os.ReadFile("../examples/lunchclub/inventory.json")
 	if err != nil {
@@ -157,12 +159,12 @@
 	f.Add(marshal(&wiregen.ChangeCommand{ChangeId: "2", ExpectedRevision: 1, Delta: &wiregen.InventoryDelta{PrefixBytes: -1, SuffixBytes: 1 << 40}}))
 	f.Add(marshal(&wiregen.ChangeCommand{ChangeId: "2", ExpectedRevision: 1, Inventory: []byte("no inventory")}))
 	f.Fuzz(func(t *testing.T, command []byte) {
-		m := newMachine()
+		m := newStateMachine()
 		if _, err := m.apply(base); err != nil {
 			t.Fatal(err)
 		}
 		_, _ = m.apply(command)
-		again, _ := restoreMachine(m.snapshot())
+		again, _ := restoreStateMachine(m.snapshot())
 		if string(again.snapshot()) != string(m.snapshot()) {
 			t.Error("the state did not survive its snapshot")
 		}
--- a/control/history.go
+++ b/control/history.go
@@ -14,18 +14,18 @@
 	"arbutusreel/wiregen"
 )
 
-// Parameters of operators' requests.
+// Query parameters of operators' requests.
 const (
 	revisionParameter = "revision"
 	countParameter    = "count"
 )
 
-// defaultHistory is the number of changes that are told if no other number is asked for.
-const defaultHistory = 20
+// defaultHistoryCount is the number of changes returned if the request does not give one.
+const defaultHistoryCount = 20
 
-// get answers the inventory in force, or that of an earlier revision, from the leader alone.
-func (c *Control) get(r *http.Request) (proto.Message, error) {
-	asked, err := numberOf(r, revisionParameter, 0)
+// getInventory returns the inventory in force, or that of an earlier revision. Only the leader answers.
+func (c *Control) getInventory(r *http.Request) (proto.Message, error) {
+	requested, err := positiveParameter(r, revisionParameter, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -33,8 +33,8 @@
 		return nil, err
 	}
 	current := c.store.Current()
-	if asked != 0 && asked != current.Revision {
-		return c.inventoryAt(r.Context(), asked, current.Revision)
+	if requested != 0 && requested != current.Revision {
+		return c.inventoryAt(r.Context(), requested, current.Revision)
 	}
 	reply := &wiregen.InventoryReply{Revision: current.Revision}
 	if current.Inventory != nil {
@@ -43,13 +43,13 @@
 	return reply, nil
 }
 
-// inventoryAt answers the inventory of an earlier revision.
+// inventoryAt returns the inventory of an earlier revision.
 func (c *Control) inventoryAt(ctx context.Context, revision, inForce int64) (proto.Message, error) {
-	history, whole, err := c.store.History(ctx)
+	history, encoded, err := c.store.History(ctx)
 	if err != nil {
 		return nil, err
 	}
-	b, err := history.At(revision, whole)
+	b, err := history.At(revision, encoded)
 	if err != nil {
 		return nil, historyProblem(err)
 	}
@@ -60,46 +60,47 @@
 	return reply, nil
 }
 
-// historyProblem returns the problem of a revision that cannot be told.
+// historyProblem converts the error for a revision that is no longer in the history to a *problem.Problem.
 func historyProblem(err error) error {
-	var forgotten *configuration.ForgottenRevisionError
-	if errors.As(err, &forgotten) {
+	var unknown *configuration.ForgottenRevisionError
+	if errors.As(err, &unknown) {
 		return problem.New(problem.UnknownRevision, http.StatusNotFound, "%s", err.Error())
 	}
 	return err
 }
 
-// tellHistory answers the newest accepted changes with what they changed, from the leader alone.
-func (c *Control) tellHistory(r *http.Request) (proto.Message, error) {
-	count, err := numberOf(r, countParameter, defaultHistory)
+// listHistory returns the newest accepted changes with the values they changed. Only the leader answers.
+func (c *Control) listHistory(r *http.Request) (proto.Message, error) {
+	count, err := positiveParameter(r, countParameter, defaultHistoryCount)
 	if err != nil {
 		return nil, err
 	}
 	if err := c.store.Confirm(r.Context()); err != nil {
 		return nil, err
 	}
-	history, whole, err := c.store.History(r.Context())
+	history, encoded, err := c.store.History(r.Context())
 	if err != nil {
 		return nil, err
 	}
 	records := history.Records()
 	reply := &wiregen.HistoryReply{}
 	for i := len(records) - 1; i >= 0 && int64(len(reply.Records)) < count; i-- {
-		before, err := records[i].Undo.Apply(whole)
+		before, err := records[i].Undo.Apply(encoded)
 		if err != nil {
 			return nil, err
 		}
-		m, err := historyRecord(records[i], before, whole)
+		m, err := historyRecord(records[i], before, encoded)
 		if err != nil {
 			return nil, err
 		}
 		reply.Records = append(reply.Records, m)
-		whole = before
+		encoded = before
 	}
 	return reply, nil
 }
 
-// historyRecord returns the message of a change from one encoded inventory to another.
+// historyRecord returns the message for a change, with the differences between the encoded inventories before and
+// after.
 func historyRecord(r configuration.Record, before, after []byte) (*wiregen.HistoryRecord, error) {
 	old, next := &wiregen.Inventory{}, &wiregen.Inventory{}
 	if err := errors.Join(proto.Unmarshal(before, old), proto.Unmarshal(after, next)); err != nil {
@@ -112,11 +113,12 @@
 	return m, nil
 }
 
-// numberOf returns a parameter that is a whole number above zero, or what it is without the parameter.
-func numberOf(r *http.Request, name string, without int64) (int64, error) {
+// positiveParameter returns the value of a query parameter, which must be a positive integer, or fallback if it is
+// absent.
+func positiveParameter(r *http.Request, name string, fallback int64) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
-		return without, nil
+		return fallback, nil
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n <= 0 {
--- a/control/instances.go
+++ b/control/instances.go
@@ -14,13 +14,13 @@
 	"arbutusreel/wiregen"
 )
 
-// voterTimeout bounds the wait for another voter's answer.
+// voterTimeout limits the wait for the reply of another voter.
 const voterTimeout = 700 * time.Millisecond
 
 // Instances returns the instances that follow this voter, directly or through relays.
 func (c *Control) Instances(context.Context, *wiregen.InstancesRequest) (*wiregen.InstancesReply, error) {
 	now := c.now()
-	reply := &wiregen.InstancesReply{Entries: wire.EncodeEntries(c.direct.live(now))}
+	reply := &wiregen.InstancesReply{Entries: wire.EncodeEntries(c.followers.live(now))}
 	for _, i := range c.hub.Instances() {
 		reply.Instances = append(reply.Instances, &wiregen.ReportedInstance{
 			Name: i.Name, Region: i.Region, Revision: i.Revision, AgeMillis: now.Sub(i.At).Milliseconds(), LedgerFatalDomain: i.LedgerFatalDomain,
@@ -29,22 +29,22 @@
 	return reply, nil
 }
 
-// followed is what the voters together know of the entries.
-type followed struct {
+// quorumView is the combined knowledge of the voters about instances and entries.
+type quorumView struct {
 	instances []distribution.Instance
-	// entries are those that follow a voter directly, by name.
+	// entries holds the entries that follow a voter directly, by name.
 	entries map[string]membership.Entry
 }
 
-// askVoters returns the newest report of each instance that any voter has, and the entries that follow any voter.
-func (c *Control) askVoters(ctx context.Context) followed {
+// queryVoters returns the newest report of each instance that any voter has, and the entries that follow any voter.
+func (c *Control) queryVoters(ctx context.Context) quorumView {
 	ctx, cancel := context.WithTimeout(ctx, voterTimeout)
 	defer cancel()
 	status := c.store.Status()
 	replies := make([]*wiregen.InstancesReply, len(status.Members))
 	var wg sync.WaitGroup
 	for i, member := range status.Members {
-		wg.Go(func() { replies[i] = c.askVoter(ctx, member, status.Self) })
+		wg.Go(func() { replies[i] = c.queryVoter(ctx, member, status.Self) })
 	}
 	wg.Wait()
 	newest := distribution.NewReports()
@@ -60,11 +60,11 @@
 			entries[e.Name] = e
 		}
 	}
-	return followed{instances: newest.All(time.Time{}), entries: entries}
+	return quorumView{instances: newest.All(time.Time{}), entries: entries}
 }
 
-// askVoter returns what a voter knows of the entries; one that does not answer knows nothing.
-func (c *Control) askVoter(ctx context.Context, member consensus.Member, self consensus.ID) *wiregen.InstancesReply {
+// queryVoter returns the reply of one voter, or nil if the voter does not answer.
+func (c *Control) queryVoter(ctx context.Context, member consensus.Member, self consensus.ID) *wiregen.InstancesReply {
 	if member.ID == self {
 		reply, _ := c.Instances(ctx, nil)
 		return reply
@@ -76,7 +76,7 @@
 	defer conn.Close()
 	reply, err := wiregen.NewConsensusClient(conn).Instances(ctx, &wiregen.InstancesRequest{})
 	if err != nil {
-		c.log.Warn().Str("voter", member.ID.Name).Err(err).Msg("instancesUnknown")
+		c.log.Warn().Str("voter", member.ID.Name).Err(err).Msg("voter did not report its instances")
 	}
 	return reply
 }
@@ -90,7 +90,7 @@
 	return c.now().Sub(at)
 }
 
-// identify returns the name and disk of the control daemon at an address.
+// identify returns the name and disk identity of the control daemon at an address.
 func (c *Control) identify(ctx context.Context, name, address string) (consensus.ID, error) {
 	ctx, cancel := context.WithTimeout(ctx, voterTimeout)
 	defer cancel()
--- a/control/joining.go
+++ b/control/joining.go
@@ -14,44 +14,46 @@
 )
 
 const (
-	// joinPeriod is how often a daemon without a leader asks to become a member.
+	// joinPeriod is how often a daemon without a leader requests membership.
 	joinPeriod = 300 * time.Millisecond
-	// joinTimeout bounds one such call: a removal and an addition, each two round trips between regions.
+	// joinTimeout limits one join request, which takes a removal and an addition of two round trips between regions
+	// each.
 	joinTimeout = 2 * time.Second
-	// voterSilence is the silence after which a voter may be replaced by a daemon that joined.
-	voterSilence = 6 * time.Second
-	// replacementAge is how long after a daemon has joined a silent voter may be replaced by it.
-	replacementAge = 20 * time.Second
+	// voterReplyTimeout is the time without a reply to the leader after which a voter may be replaced by a daemon
+	// that joined.
+	voterReplyTimeout = 6 * time.Second
+	// replacementWindow is how long after its join a daemon may replace an unresponsive voter.
+	replacementWindow = 20 * time.Second
 )
 
-// keepMember asks the leader for membership whenever this daemon hears no leader: it is new, its disk was lost, or it
-// was replaced while it was away.
-func (c *Control) keepMember(ctx context.Context) {
+// maintainMembership requests membership from the leader whenever this daemon has no contact with one. That is the
+// case for a new daemon, after the loss of its disk, or if it was replaced during an outage.
+func (c *Control) maintainMembership(ctx context.Context) {
 	if len(c.cfg.Seeds) == 0 {
 		return
 	}
-	for i := 0; clock.Sleep(ctx, joinPeriod); i++ {
+	for attempt := 0; clock.Sleep(ctx, joinPeriod); attempt++ {
 		s := c.quorum.Status()
-		silence := c.now().Sub(s.Heard)
-		if s.Leads || s.Leader.Name != "" && silence < 2*c.cfg.ElectionTimeout || !c.cfg.Join && silence < 4*c.cfg.ElectionTimeout {
+		sinceContact := c.now().Sub(s.Heard)
+		if s.Leads || s.Leader.Name != "" && sinceContact < 2*c.cfg.ElectionTimeout || !c.cfg.Join && sinceContact < 4*c.cfg.ElectionTimeout {
 			continue
 		}
-		c.askToJoin(ctx, i)
+		c.requestJoin(ctx, attempt)
 	}
 }
 
-// askToJoin asks one of the daemons that are known, each in turn.
-func (c *Control) askToJoin(ctx context.Context, turn int) {
-	var known []string
+// requestJoin requests membership from one of the known control daemons, chosen in turn by attempt.
+func (c *Control) requestJoin(ctx context.Context, attempt int) {
+	var addresses []string
 	for _, address := range append(c.controlAddresses(), c.cfg.Seeds...) {
 		if address != c.cfg.PeerAddress {
-			known = append(known, address)
+			addresses = append(addresses, address)
 		}
 	}
-	if len(known) == 0 {
+	if len(addresses) == 0 {
 		return
 	}
-	address := known[turn%len(known)]
+	address := addresses[attempt%len(addresses)]
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	reply, err := callPeer(ctx, c.peers, address, func(ctx context.Context, conn grpc.ClientConnInterface) (*wiregen.JoinReply, error) {
@@ -59,10 +61,10 @@
 			Name: c.cfg.Name, Disk: c.quorum.disk.identity, Address: c.cfg.PeerAddress, FailureDomain: c.cfg.FailureDomain,
 		})
 	})
-	c.log.Info().Str("control", address).Bool("member", reply.GetMember()).Err(err).Msg("joinAsked")
+	c.log.Info().Str("control", address).Bool("member", reply.GetMember()).Err(err).Msg("membership requested")
 }
 
-// Join makes a control daemon a member, at the leader.
+// Join adds a control daemon to the members. A voter that does not lead forwards the request to the leader.
 func (c *Control) Join(ctx context.Context, m *wiregen.JoinRequest) (*wiregen.JoinReply, error) {
 	if !c.quorum.Status().Leads {
 		leader, err := c.leader()
@@ -79,7 +81,7 @@
 		return &wiregen.JoinReply{Member: true}, nil
 	}
 	if known {
-		c.log.Warn().Str("member", id.Name).Str("disk", member.ID.Disk).Str("newDisk", id.Disk).Msg("memberLostDisk")
+		c.log.Warn().Str("member", id.Name).Str("disk", member.ID.Disk).Str("newDisk", id.Disk).Msg("member lost its disk")
 		if err := c.quorum.Remove(ctx, member.ID); err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
 		}
@@ -88,29 +90,30 @@
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
 	if !known {
-		c.joined.note(c.now())
+		c.recentJoins.record(c.now())
 	}
-	c.log.Info().Str("member", id.Name).Str("disk", id.Disk).Str("address", m.GetAddress()).Str("domain", m.GetFailureDomain()).Msg("memberJoined")
+	c.log.Info().Str("member", id.Name).Str("disk", id.Disk).Str("address", m.GetAddress()).Str("domain", m.GetFailureDomain()).Msg("member joined")
 	return &wiregen.JoinReply{Member: true}, nil
 }
 
-// replaceSilent removes, at the leader, one voter that is silent for each daemon that joined lately under a new name.
-func (c *Control) replaceSilent(ctx context.Context) {
+// replaceUnresponsive removes, on the leader, one unresponsive voter for each daemon that recently joined under a new
+// name.
+func (c *Control) replaceUnresponsive(ctx context.Context) {
 	for clock.Sleep(ctx, time.Second) {
-		if !c.joined.open(c.now()) {
+		if !c.recentJoins.pending(c.now()) {
 			continue
 		}
-		silent, ok := c.quorum.silentVoter(voterSilence)
-		if !ok || len(c.quorum.Status().Members.Voters()) <= max(2*c.cfg.ToleratedDisks+1, leastVoters) {
+		voter, ok := c.quorum.unresponsiveVoter(voterReplyTimeout)
+		if !ok || len(c.quorum.Status().Members.Voters()) <= max(2*c.cfg.ToleratedDisks+1, minVoters) {
 			continue
 		}
-		err := c.quorum.Remove(ctx, silent)
+		err := c.quorum.Remove(ctx, voter)
 		if err == nil {
-			c.joined.use()
+			c.recentJoins.consume()
 		}
-		c.log.Warn().Str("member", silent.Name).Dur("silence", voterSilence).Err(err).Msg("silentVoterReplaced")
+		c.log.Warn().Str("member", voter.Name).Dur("silence", voterReplyTimeout).Err(err).Msg("unresponsive voter removal")
 	}
 }
 
-// leastVoters is the number of voters below which none is removed.
-const leastVoters = 3
+// minVoters is the number of voters at or below which no unresponsive voter is removed.
+const minVoters = 3
--- a/control/links.go
+++ b/control/links.go
@@ -22,74 +22,74 @@
 )
 
 const (
-	linkMessages = 256
-	linkBackoff  = 100 * time.Millisecond
-	// linkConnectTimeout bounds one attempt to connect, so that a link comes back soon after a partition.
+	linkQueueLength = 256
+	linkBackoff     = 100 * time.Millisecond
+	// linkConnectTimeout limits one attempt to connect, so that a link recovers soon after a partition.
 	linkConnectTimeout = 2 * time.Second
-	// linkPing and linkPingTimeout find a connection that a partition has cut.
+	// linkPing and linkPingTimeout detect a connection that is cut by a partition.
 	linkPing        = 10 * time.Second
 	linkPingTimeout = 2 * time.Second
-	linkLeastPing   = 5 * time.Second
-	// maxMessageBytes bounds one message between voters, which may hold a snapshot.
+	linkMinPing     = 5 * time.Second
+	// maxMessageBytes limits the size of a message between voters, which may contain a snapshot.
 	maxMessageBytes = 128 << 20
-	// linkIdle is the time after which a link that has nothing to send is closed.
-	linkIdle = 30 * time.Second
+	// linkIdleTimeout is the time without messages after which a link is closed.
+	linkIdleTimeout = 30 * time.Second
 )
 
-// links carries messages to the other voters, with one goroutine for each address.
+// links sends messages to the other voters, with one goroutine and one bounded queue for each address.
 type links struct {
 	ctx  context.Context
 	keys *keys.Source
 	log  zerolog.Logger
 	wg   sync.WaitGroup
 
-	mu    sync.Mutex
-	rings map[string]*ring.Ring[*wiregen.ConsensusMessage]
+	mu     sync.Mutex
+	queues map[string]*ring.Ring[*wiregen.ConsensusMessage]
 }
 
 func newLinks(ctx context.Context, source *keys.Source, log zerolog.Logger) *links {
-	return &links{ctx: ctx, keys: source, log: log, rings: map[string]*ring.Ring[*wiregen.ConsensusMessage]{}}
+	return &links{ctx: ctx, keys: source, log: log, queues: map[string]*ring.Ring[*wiregen.ConsensusMessage]{}}
 }
 
-// send passes on a message; one for a link that is full is dropped, as consensus repeats what matters.
+// send queues a message. A message for a full queue is dropped, as consensus retransmits what matters.
 func (l *links) send(m consensus.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.rings[m.ToAddress]
+	r := l.queues[m.ToAddress]
 	if r == nil {
-		r = ring.New[*wiregen.ConsensusMessage](linkMessages)
-		l.rings[m.ToAddress] = r
+		r = ring.New[*wiregen.ConsensusMessage](linkQueueLength)
+		l.queues[m.ToAddress] = r
 		l.wg.Go(func() { l.run(m.To.Name, m.ToAddress, r) })
 	}
 	r.Offer(encodeMessage(m))
 }
 
-// run keeps a stream to an address until the link has been idle or the links end.
+// run maintains a stream to an address until the link is idle or the context ends.
 func (l *links) run(name, address string, r *ring.Ring[*wiregen.ConsensusMessage]) {
 	for l.ctx.Err() == nil {
 		idle, err := l.stream(name, address, r)
 		if err != nil && l.ctx.Err() == nil {
-			l.log.Debug().Str("voter", address).Err(err).Msg("voterUnreachable")
+			l.log.Debug().Str("voter", address).Err(err).Msg("voter unreachable")
 		}
-		if idle && l.forget(address, r) {
+		if idle && l.removeIdle(address, r) {
 			return
 		}
 		clock.Sleep(l.ctx, linkBackoff)
 	}
 }
 
-// forget removes an empty link and reports whether it did.
-func (l *links) forget(address string, r *ring.Ring[*wiregen.ConsensusMessage]) bool {
+// removeIdle removes the link if its queue is empty and reports whether it did.
+func (l *links) removeIdle(address string, r *ring.Ring[*wiregen.ConsensusMessage]) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.Len() > 0 {
 		return false
 	}
-	delete(l.rings, address)
+	delete(l.queues, address)
 	return true
 }
 
-// stream sends the messages of one connection; idle says that it ended for want of messages.
+// stream sends queued messages over one connection; idle reports that it ended because no message was queued in time.
 func (l *links) stream(name, address string, r *ring.Ring[*wiregen.ConsensusMessage]) (idle bool, err error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(l.keys.Client(name)),
@@ -106,8 +106,8 @@
 		return false, err
 	}
 	for {
-		waiting, stop := context.WithTimeout(ctx, linkIdle)
-		m, err := r.Take(waiting)
+		takeCtx, stop := context.WithTimeout(ctx, linkIdleTimeout)
+		m, err := r.Take(takeCtx)
 		stop()
 		if err != nil {
 			return true, l.ctx.Err()
@@ -118,7 +118,7 @@
 	}
 }
 
-// Deliver takes the messages of another voter.
+// Deliver receives messages from another voter.
 func (c *Control) Deliver(messages grpc.ClientStreamingServer[wiregen.ConsensusMessage, wiregen.DeliverReply]) error {
 	for {
 		m, err := messages.Recv()
@@ -133,26 +133,26 @@
 		}
 		decoded, err := decodeMessage(m)
 		if err != nil {
-			c.log.Error().Err(err).Str("voter", m.GetFrom().GetName()).Msg("messageRefused")
+			c.log.Error().Err(err).Str("voter", m.GetFrom().GetName()).Msg("voter message refused")
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
-		if err := c.quorum.input(messages.Context(), func(now time.Time) { c.quorum.node.Receive(now, decoded) }); err != nil {
+		if err := c.quorum.enqueue(messages.Context(), func(now time.Time) { c.quorum.node.Receive(now, decoded) }); err != nil {
 			return err
 		}
 	}
 }
 
-// checkVoter refuses a message whose sender has the certificate of another instance.
+// checkVoter refuses a message whose sender does not match the name in its certificate.
 func (c *Control) checkVoter(ctx context.Context, from *wiregen.VoterId) error {
 	identity, ok := keys.Peer(ctx)
 	if !c.cfg.Keys.Mutual() || ok && identity.Name == from.GetName() {
 		return nil
 	}
-	c.log.Warn().Str("claimed", from.GetName()).Str("certificate", identity.Name).Msg("peerRefused")
+	c.log.Warn().Str("claimed", from.GetName()).Str("certificate", identity.Name).Msg("peer refused")
 	return status.Errorf(codes.PermissionDenied, "the certificate is not that of voter %q", from.GetName())
 }
 
-// Identify returns this daemon's name and disk.
+// Identify returns the name and disk identity of this daemon.
 func (c *Control) Identify(context.Context, *wiregen.IdentifyRequest) (*wiregen.VoterId, error) {
 	return &wiregen.VoterId{Name: c.cfg.Name, Disk: c.quorum.disk.identity}, nil
 }
--- a/control/machine.go
+++ b/control/machine.go
@@ -13,37 +13,37 @@
 	"arbutusreel/wiregen"
 )
 
-// machine is the replicated state: the configuration and the encoded inventory in force.
-type machine struct {
-	state   *configuration.State
-	history *configuration.History
-	whole   []byte
-	orders  configuration.Orders
+// stateMachine is the replicated state: the configuration, its history, the encoded inventory in force and the
+// operators' orders.
+type stateMachine struct {
+	state            *configuration.State
+	history          *configuration.History
+	encodedInventory []byte
+	orders           configuration.Orders
 }
 
-func newMachine() *machine {
-	return &machine{state: configuration.NewState(), history: &configuration.History{}}
+func newStateMachine() *stateMachine {
+	return &stateMachine{state: configuration.NewState(), history: &configuration.History{}}
 }
 
-// encodeCommand returns the command of a change: a delta if it expects the
-// revision whose inventory is given, and else the whole.
-func encodeCommand(c configuration.Change, revision int64, whole []byte) []byte {
+// encodeCommand encodes a change as a command. The command contains a delta if the change expects the given revision,
+// whose encoded inventory is passed along, and otherwise the whole inventory.
+func encodeCommand(c configuration.Change, revision int64, encoded []byte) []byte {
 	m := &wiregen.ChangeCommand{ChangeId: c.ID, ExpectedRevision: c.Expected, Operator: c.Operator, UnixMillis: c.At.UnixMilli()}
 	next := marshal(wire.EncodeInventory(c.Inventory))
 	if c.Expected == revision && revision > 0 {
-		m.Delta = relay.EncodeDelta(distribution.NewDelta(revision+1, whole, next))
+		m.Delta = relay.EncodeDelta(distribution.NewDelta(revision+1, encoded, next))
 	} else {
 		m.Inventory = next
 	}
 	return marshal(m)
 }
 
-// apply decides the change of a command. Whether an inventory is valid was
-// checked before it was proposed; here it plays no part in the decision, so
-// that voters of different versions decide alike. A command that cannot be
-// read, or a delta that does not fit, returns *RecordError: the state is then
-// not that of the other voters.
-func (m *machine) apply(command []byte) (configuration.Answer, error) {
+// apply decides the change in a command. The inventory was validated before it was proposed. Its validity does not
+// enter the decision here, so that voters of different versions reach the same result. A command that cannot be
+// decoded, or a delta that does not match, returns *RecordError: the state then differs from that of the other
+// voters.
+func (m *stateMachine) apply(command []byte) (configuration.Answer, error) {
 	c := &wiregen.ChangeCommand{}
 	if err := proto.Unmarshal(command, c); err != nil {
 		return configuration.Answer{}, &RecordError{Record: "change", Cause: err}
@@ -52,57 +52,58 @@
 		m.orders = applyOrder(m.orders, c.GetFleet())
 		return configuration.Answer{Accepted: true, Revision: m.state.Revision()}, nil
 	}
-	if m.decides(c) {
+	if m.decidedWithoutInventory(c) {
 		return m.state.Apply(configuration.Change{ID: c.GetChangeId(), Expected: c.GetExpectedRevision()}), nil
 	}
-	whole := c.GetInventory()
+	encoded := c.GetInventory()
 	if c.GetDelta() != nil {
 		var err error
-		if whole, err = relay.DecodeDelta(c.GetDelta()).Apply(m.whole); err != nil {
+		if encoded, err = relay.DecodeDelta(c.GetDelta()).Apply(m.encodedInventory); err != nil {
 			return configuration.Answer{}, &RecordError{Record: "change", Cause: err}
 		}
 	}
-	before := m.whole
-	m.whole = whole
-	inv, err := decodeInventory(whole)
+	before := m.encodedInventory
+	m.encodedInventory = encoded
+	inv, err := decodeInventory(encoded)
 	answer := m.state.Apply(configuration.Change{ID: c.GetChangeId(), Expected: c.GetExpectedRevision(), Inventory: inv})
 	m.history.Add(configuration.Record{
 		Revision: answer.Revision,
 		ChangeID: c.GetChangeId(),
 		Operator: c.GetOperator(),
 		At:       time.UnixMilli(c.GetUnixMillis()),
-		Undo:     distribution.NewDelta(answer.Revision-1, whole, before),
+		Undo:     distribution.NewDelta(answer.Revision-1, encoded, before),
 	})
-	return answer, m.refused(err)
+	return answer, m.inventoryError(err)
 }
 
-// decides reports whether the answer to a command is known before its inventory is looked at: a resend or a conflict.
-func (m *machine) decides(c *wiregen.ChangeCommand) bool {
+// decidedWithoutInventory reports whether the answer to a command does not depend on its inventory, as for a resend
+// or a revision conflict.
+func (m *stateMachine) decidedWithoutInventory(c *wiregen.ChangeCommand) bool {
 	_, answered := m.state.Answer(c.GetChangeId())
 	return answered || c.GetExpectedRevision() != m.state.Revision()
 }
 
-// refused returns an error that the loop logs and outlives, or nil.
-func (m *machine) refused(err error) error {
+// inventoryError wraps a non-nil err in *InventoryRefusedError, which the event loop logs and tolerates.
+func (m *stateMachine) inventoryError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &InventoryRefusedError{Revision: m.state.Revision(), Cause: err}
 }
 
-func decodeInventory(whole []byte) (*inventory.Inventory, error) {
+func decodeInventory(encoded []byte) (*inventory.Inventory, error) {
 	m := &wiregen.Inventory{}
-	if err := proto.Unmarshal(whole, m); err != nil {
+	if err := proto.Unmarshal(encoded, m); err != nil {
 		return nil, &RecordError{Record: "inventory", Cause: err}
 	}
 	return wire.DecodeInventory(m)
 }
 
 // snapshot returns the encoded state; equal states have equal encodings.
-func (m *machine) snapshot() []byte {
-	s := &wiregen.ConfigurationSnapshot{Revision: m.state.Revision(), Inventory: m.whole}
-	for _, known := range m.state.Answers() {
-		s.Answers = append(s.Answers, &wiregen.ChangeAnswer{ChangeId: known.ID, Accepted: known.Answer.Accepted, Revision: known.Answer.Revision})
+func (m *stateMachine) snapshot() []byte {
+	s := &wiregen.ConfigurationSnapshot{Revision: m.state.Revision(), Inventory: m.encodedInventory}
+	for _, answer := range m.state.Answers() {
+		s.Answers = append(s.Answers, &wiregen.ChangeAnswer{ChangeId: answer.ID, Accepted: answer.Answer.Accepted, Revision: answer.Answer.Revision})
 	}
 	for _, r := range m.history.Records() {
 		s.Records = append(s.Records, &wiregen.ChangeRecord{
@@ -113,9 +114,9 @@
 	return marshal(s)
 }
 
-// restoreMachine returns the state of a snapshot. A snapshot that cannot be read returns *RecordError; one with an
-// inventory that this version refuses returns the state and *InventoryRefusedError.
-func restoreMachine(snapshot []byte) (*machine, error) {
+// restoreStateMachine decodes the state of a snapshot. A snapshot that cannot be decoded returns *RecordError; one
+// whose inventory this version refuses returns the state and *InventoryRefusedError.
+func restoreStateMachine(snapshot []byte) (*stateMachine, error) {
 	s := &wiregen.ConfigurationSnapshot{}
 	if err := proto.Unmarshal(snapshot, s); err != nil {
 		return nil, &RecordError{Record: "configuration snapshot", Cause: err}
@@ -138,11 +139,11 @@
 	if s.GetRevision() > 0 {
 		inv, err = decodeInventory(s.GetInventory())
 	}
-	m := &machine{
-		state:   configuration.RestoreState(s.GetRevision(), inv, answers),
-		history: configuration.RestoreHistory(records),
-		whole:   s.GetInventory(),
-		orders:  decodeOrders(s.GetFleet()),
+	m := &stateMachine{
+		state:            configuration.RestoreState(s.GetRevision(), inv, answers),
+		history:          configuration.RestoreHistory(records),
+		encodedInventory: s.GetInventory(),
+		orders:           decodeOrders(s.GetFleet()),
 	}
-	return m, m.refused(err)
+	return m, m.inventoryError(err)
 }
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -20,8 +20,8 @@
 	"arbutusreel/wire"
 )
 
-// sized returns an inventory of 21 regions with 73 failure domains, 13 models and a number of teams.
-func sized(t testing.TB, teams int, tokens float64) *inventory.Inventory {
+// newTestInventory returns an inventory of 21 regions with 73 failure domains, 13 models and the given number of teams.
+func newTestInventory(t testing.TB, teams int, tokens float64) *inventory.Inventory {
 	t.Helper()
 	c := inventory.Contents{
 		Classes: []inventory.Class{{Name: "plan", Priority: 1, Weight: 1, Patience: time.Second}},
@@ -60,31 +60,31 @@
 }
 
 func TestMachineAnswersAfterSnapshot(t *testing.T) {
-	m := newMachine()
-	first := encodeCommand(configuration.Change{ID: "first", Inventory: sized(t, 10, 1)}, 0, nil)
-	refused := encodeCommand(configuration.Change{ID: "refused", Inventory: sized(t, 10, 2)}, 0, nil)
+	m := newStateMachine()
+	first := encodeCommand(configuration.Change{ID: "first", Inventory: newTestInventory(t, 10, 1)}, 0, nil)
+	refused := encodeCommand(configuration.Change{ID: "refused", Inventory: newTestInventory(t, 10, 2)}, 0, nil)
 	for _, command := range [][]byte{first, refused} {
 		if _, err := m.apply(command); err != nil {
 			t.Fatal(err)
 		}
 	}
-	next := configuration.Change{ID: "second", Expected: 1, Inventory: sized(t, 10, 3)}
-	if _, err := m.apply(encodeCommand(next, 1, m.whole)); err != nil {
+	next := configuration.Change{ID: "second", Expected: 1, Inventory: newTestInventory(t, 10, 3)}
+	if _, err := m.apply(encodeCommand(next, 1, m.encodedInventory)); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(marshal(wire.EncodeInventory(next.Inventory)), m.whole); diff != "" {
+	if diff := cmp.Diff(marshal(wire.EncodeInventory(next.Inventory)), m.encodedInventory); diff != "" {
 		t.Errorf("the inventory of a delta: %s", diff)
 	}
-	stale := encodeCommand(configuration.Change{ID: "stale", Expected: 1, Inventory: sized(t, 10, 4)}, 1, []byte("another inventory"))
+	stale := encodeCommand(configuration.Change{ID: "stale", Expected: 1, Inventory: newTestInventory(t, 10, 4)}, 1, []byte("another inventory"))
 	if got, err := m.apply(stale); got.Accepted || err != nil {
 		t.Errorf("a delta against an old revision: %+v, %v", got, err)
 	}
-	other := sized(t, 10, 4)
+	other := newTestInventory(t, 10, 4)
 	foreign := encodeCommand(configuration.Change{ID: "foreign", Expected: 2, Inventory: other}, 2, marshal(wire.EncodeInventory(other)))
 	if _, err := m.apply(foreign); !errors.As(err, new(*RecordError)) {
 		t.Errorf("a delta against another inventory: %v", err)
 	}
-	restored, err := restoreMachine(m.snapshot())
+	restored, err := restoreStateMachine(m.snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestDiskRemembers persists what a node asks for and compares it with what is read after a restart.
+// TestDiskRemembers persists the actions of a node and compares the state that is restored after a restart.
 func TestDiskRemembers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "data")
 	open := func() (*journal.Folder, *disk, consensus.Restored) {
@@ -124,7 +124,7 @@
 	}
 	f, d, r := open()
 	if diff := cmp.Diff(consensus.Restored{}, r); diff != "" {
-		t.Errorf("an empty disk remembers: %s", diff)
+		t.Errorf("state restored from an empty disk: %s", diff)
 	}
 	members := consensus.Members{{ID: consensus.ID{Name: "a", Disk: d.identity}, Address: "127.0.0.1:1", Voter: true}}
 	entry := func(index, term int64) consensus.Entry {
@@ -154,23 +154,23 @@
 	}
 }
 
-// BenchmarkChange decides a change of one team and reports the sizes of the inventory, of its delta and of a snapshot.
+// BenchmarkChange decides a change to one team and reports the sizes of the inventory, of its delta and of a snapshot.
 func BenchmarkChange(b *testing.B) {
 	for _, teams := range []int{10, 90, 360} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
-			m := newMachine()
-			inventories := []*inventory.Inventory{sized(b, teams, 1), sized(b, teams, 2)}
+			m := newStateMachine()
+			inventories := []*inventory.Inventory{newTestInventory(b, teams, 1), newTestInventory(b, teams, 2)}
 			var sizes struct{ whole, delta, command int }
 			for i := range b.N {
-				before := m.whole
+				before := m.encodedInventory
 				c := configuration.Change{ID: fmt.Sprint(i), Expected: int64(i), Inventory: inventories[i%2]}
-				command := encodeCommand(c, m.state.Revision(), m.whole)
+				command := encodeCommand(c, m.state.Revision(), m.encodedInventory)
 				if _, err := m.apply(command); err != nil {
 					b.Fatal(err)
 				}
 				sizes.command = len(command)
-				sizes.whole = len(m.whole)
-				sizes.delta = len(distribution.NewDelta(1, before, m.whole).Middle)
+				sizes.whole = len(m.encodedInventory)
+				sizes.delta = len(distribution.NewDelta(1, before, m.encodedInventory).Middle)
 			}
 			b.ReportMetric(float64(sizes.whole), "wholeBytes")
 			b.ReportMetric(float64(sizes.delta), "deltaBytes")
--- a/control/members.go
+++ b/control/members.go
@@ -18,8 +18,8 @@
 	return all
 }
 
-// members answers the quorum's members, from the leader alone.
-func (c *Control) members(r *http.Request) (proto.Message, error) {
+// listMembers returns the members of the quorum. Only the leader answers.
+func (c *Control) listMembers(r *http.Request) (proto.Message, error) {
 	if err := c.store.Confirm(r.Context()); err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 	return &wiregen.MembersReply{Leader: status.Leader.Name, Members: memberStatuses(status.Members)}
 }
 
-// addMember adds the control daemon at an address, whose disk it asks for.
+// addMember adds the control daemon at an address after it has queried the daemon's disk identity.
 func (c *Control) addMember(r *http.Request) (proto.Message, error) {
 	m := &wiregen.AddMemberRequest{}
 	if err := c.decode(r, m); err != nil {
@@ -50,11 +50,11 @@
 	if err := c.store.Add(r.Context(), id, m.GetAddress()); err != nil {
 		return nil, err
 	}
-	c.log.Info().Str("member", id.Name).Str("disk", id.Disk).Str("address", m.GetAddress()).Msg("memberAdded")
+	c.log.Info().Str("member", id.Name).Str("disk", id.Disk).Str("address", m.GetAddress()).Msg("member added")
 	return c.membersReply(), nil
 }
 
-// removeMember removes a member; the disk, if it is given, must be the member's.
+// removeMember removes a member; a disk identity in the request must match the member's.
 func (c *Control) removeMember(r *http.Request) (proto.Message, error) {
 	m := &wiregen.RemoveMemberRequest{}
 	if err := c.decode(r, m); err != nil {
@@ -64,6 +64,6 @@
 	if err := c.store.Remove(r.Context(), id); err != nil {
 		return nil, err
 	}
-	c.log.Info().Str("member", id.Name).Str("disk", id.Disk).Msg("memberRemoved")
+	c.log.Info().Str("member", id.Name).Str("disk", id.Disk).Msg("member removed")
 	return c.membersReply(), nil
 }
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -2,10 +2,10 @@
 
 import "expvar"
 
-// quorumVar is the name of the quorum's metrics.
+// quorumVar is the expvar name of the quorum's metrics.
 const quorumVar = "quorum"
 
-// metrics are the counts of a voter as expvar shows them.
+// metrics is the expvar representation of a voter's metrics.
 type metrics struct {
 	Term            int64 `json:"term"`
 	Leads           bool  `json:"leads"`
@@ -17,7 +17,7 @@
 	WaitingInputs   int   `json:"waitingInputs"`
 }
 
-// publishMetrics makes the voter's metrics visible; in a process with several voters only those of the first.
+// publishMetrics publishes the voter's metrics. In a process with several voters, only the first one's are published.
 func (c *Control) publishMetrics() {
 	if expvar.Get(quorumVar) != nil {
 		return
--- a/control/operators.go
+++ b/control/operators.go
@@ -13,16 +13,16 @@
 	"arbutusreel/wiregen"
 )
 
-// operatorHandler serves operators and health.
+// operatorHandler returns the HTTP handler for operators and health checks.
 func (c *Control) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	guard := operator.NewGuard(c.cfg.OperatorTokenDigest, c.cfg.MaxInventoryBytes)
-	mux.HandleFunc("POST /v1/inventory", guard.Handle(c.apply))
-	mux.HandleFunc("POST /v1/patch", guard.Handle(c.patch))
-	mux.HandleFunc("GET /v1/inventory", guard.Handle(c.get))
-	mux.HandleFunc("GET /v1/history", guard.Handle(c.tellHistory))
+	mux.HandleFunc("POST /v1/inventory", guard.Handle(c.applyInventory))
+	mux.HandleFunc("POST /v1/patch", guard.Handle(c.patchInventory))
+	mux.HandleFunc("GET /v1/inventory", guard.Handle(c.getInventory))
+	mux.HandleFunc("GET /v1/history", guard.Handle(c.listHistory))
 	mux.HandleFunc("GET /v1/status", guard.Handle(c.status))
-	mux.HandleFunc("GET /v1/members", guard.Handle(c.members))
+	mux.HandleFunc("GET /v1/members", guard.Handle(c.listMembers))
 	mux.HandleFunc("POST /v1/members/add", guard.Handle(c.addMember))
 	mux.HandleFunc("POST /v1/members/remove", guard.Handle(c.removeMember))
 	mux.HandleFunc("GET /v1/entries", guard.Handle(c.listEntries))
@@ -33,7 +33,7 @@
 	return mux
 }
 
-// decode reads a request's JSON into m.
+// decode reads the JSON body of a request into m.
 func (c *Control) decode(r *http.Request, m proto.Message) error {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -45,16 +45,16 @@
 	return nil
 }
 
-// status answers the leader and the revision in force at each instance; a
-// voter that is not known to be current answers what it knows, and says so.
+// status returns the leader and the revision in force at each instance. A voter that cannot confirm that it is
+// current returns its known state with Current false.
 func (c *Control) status(r *http.Request) (proto.Message, error) {
 	err := c.store.Confirm(r.Context())
-	known := c.store.Status()
+	quorumStatus := c.store.Status()
 	reply := &wiregen.StatusReply{
-		Name: c.cfg.Name, Leader: known.Leader.Name, Term: known.Term, Revision: c.store.Current().Revision,
-		Members: memberStatuses(known.Members), Current: err == nil,
+		Name: c.cfg.Name, Leader: quorumStatus.Leader.Name, Term: quorumStatus.Term, Revision: c.store.Current().Revision,
+		Members: memberStatuses(quorumStatus.Members), Current: err == nil,
 	}
-	for _, i := range c.askVoters(r.Context()).instances {
+	for _, i := range c.queryVoters(r.Context()).instances {
 		reply.Instances = append(reply.Instances, &wiregen.InstanceStatus{
 			Name: i.Name, Region: i.Region, Revision: i.Revision,
 			AgeMillis: c.now().Sub(i.At).Milliseconds(),
--- a/control/operators_orders.go
+++ b/control/operators_orders.go
@@ -15,19 +15,22 @@
 	"arbutusreel/wiregen"
 )
 
-// PutDocument decides a routing document, at the leader. A document whose version is not higher than the one in force
-// changes nothing and is a success. A failure is a *problem.Problem, after which the document may still be accepted.
+// PutDocument submits a routing document to the leader. A document whose version is not higher than the one in force
+// is ignored without an error. Failures are of type *problem.Problem; the document may still be accepted after one.
 func (c *Control) PutDocument(ctx context.Context, d configuration.Document) error {
-	return c.order(ctx, &wiregen.FleetOrder{Document: &wiregen.RouteDocument{Version: d.Version, Content: d.Content}})
+	return c.submitOrder(ctx, &wiregen.FleetOrder{
+		Document: &wiregen.RouteDocument{Version: d.Version, Content: d.Content},
+	})
 }
 
-// Evacuate decides that the endpoints of a failure domain get nothing new, or withdraws that; a failure is a
-// *problem.Problem.
+// Evacuate orders that the endpoints of a failure domain get no new requests, or withdraws the order. Failures are of
+// type *problem.Problem.
 func (c *Control) Evacuate(ctx context.Context, domain string, withdrawn bool) error {
-	return c.order(ctx, &wiregen.FleetOrder{Evacuation: &wiregen.EvacuationOrder{FailureDomain: domain, Withdrawn: withdrawn}})
+	return c.submitOrder(ctx, &wiregen.FleetOrder{Evacuation: &wiregen.EvacuationOrder{FailureDomain: domain, Withdrawn: withdrawn}})
 }
 
-// Newest returns the document that was accepted last before some time after the call; a failure is a *problem.Problem.
+// Newest returns the newest document accepted by the quorum, including every document accepted before the call.
+// Failures are of type *problem.Problem.
 func (c *Control) Newest(ctx context.Context) (configuration.Document, error) {
 	if c.quorum.Status().Leads {
 		if err := c.quorum.Confirm(ctx); err != nil {
@@ -50,10 +53,10 @@
 
 func leaderUnreachable(leader consensus.Member, err error) *problem.Problem {
 	return problem.New(problem.QuorumUnavailable, http.StatusServiceUnavailable, "leader %q: %v", leader.ID.Name, err).
-		WithOutcome(problem.Unknown).WithRetryAfter(leaderRetry)
+		WithOutcome(problem.Unknown).WithRetryAfter(leaderRetryAfter)
 }
 
-// leader returns the member that leads.
+// leader returns the current leader, which must be another member.
 func (c *Control) leader() (consensus.Member, error) {
 	s := c.quorum.Status()
 	member, ok := s.Members.Find(s.Leader.Name)
@@ -63,13 +66,13 @@
 	return member, nil
 }
 
-// order decides an order here if this voter leads, and else at the leader.
-func (c *Control) order(ctx context.Context, m *wiregen.FleetOrder) error {
+// submitOrder decides an order locally if this voter leads, and otherwise forwards it to the leader.
+func (c *Control) submitOrder(ctx context.Context, m *wiregen.FleetOrder) error {
 	began := c.now()
 	err := c.decideOrder(ctx, m)
 	c.log.Info().Int64("version", m.GetDocument().GetVersion()).Str("evacuated", m.GetEvacuation().GetFailureDomain()).
 		Bool("withdrawn", m.GetEvacuation().GetWithdrawn()).Dur("took", c.now().Sub(began)).
-		Str("leader", c.quorum.Status().Leader.Name).Err(err).Msg("orderDecided")
+		Str("leader", c.quorum.Status().Leader.Name).Err(err).Msg("fleet order processed")
 	return err
 }
 
@@ -90,17 +93,18 @@
 	return nil
 }
 
-// proposeOrder appends an order to the log, or confirms that it is in force already.
+// proposeOrder appends an order to the log. For a document that is not newer than the one in force it only confirms
+// leadership.
 func (c *Control) proposeOrder(ctx context.Context, m *wiregen.FleetOrder) error {
 	if d := m.GetDocument(); d != nil && d.GetVersion() <= c.quorum.Orders().Document().Version {
 		return c.quorum.Confirm(ctx)
 	}
 	command := marshal(&wiregen.ChangeCommand{Fleet: m, UnixMillis: c.now().UnixMilli()})
-	_, err := c.quorum.decide(ctx, func(now time.Time) (index, term int64, err error) { return c.quorum.node.Propose(now, command) })
+	_, err := c.quorum.proposeAndWait(ctx, func(now time.Time) (index, term int64, err error) { return c.quorum.node.Propose(now, command) })
 	return err
 }
 
-// Decide decides an order that another voter passes on.
+// Decide decides an order forwarded by another voter.
 func (c *Control) Decide(ctx context.Context, m *wiregen.FleetOrder) (*wiregen.FleetDecision, error) {
 	if err := c.proposeOrder(ctx, m); err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
@@ -108,7 +112,7 @@
 	return &wiregen.FleetDecision{Accepted: true}, nil
 }
 
-// Newest answers another voter's read of the newest document.
+// Newest returns the newest document to another voter.
 func (s fleetServer) Newest(ctx context.Context, _ *wiregen.NewestRequest) (*wiregen.RouteDocument, error) {
 	c := s.Control
 	if !c.quorum.Status().Leads {
@@ -121,7 +125,7 @@
 	return &wiregen.RouteDocument{Version: d.Version, Content: d.Content}, nil
 }
 
-// fleetServer answers the calls whose names the daemon's own methods bear.
+// fleetServer implements the RPCs whose names collide with methods of Control.
 type fleetServer struct {
 	*Control
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -19,39 +19,39 @@
 const (
 	orderTimeout  = 2 * time.Second
 	maxOrderReply = 64 << 10
-	// orderDeadline is the time from its receipt in which an engine may start an order.
+	// orderDeadline is the time after receipt within which an engine may start an order.
 	orderDeadline = time.Second
 )
 
-// Parts of an order's request.
+// Parts of an order's HTTP request.
 const (
 	ordersPath     = "/v1/orders"
 	orderMediaType = "application/json"
 )
 
-// OrderStatusError says that an engine answered an order with a status of failure.
+// OrderStatusError reports that an engine answered an order with a status other than 200.
 type OrderStatusError struct {
 	Endpoint string
 	Status   int
 }
 
-// Error names the endpoint and the status.
+// Error returns the name of the endpoint and the status.
 func (e *OrderStatusError) Error() string {
 	return fmt.Sprintf("endpoint %q answered an order with status %d", e.Endpoint, e.Status)
 }
 
-// OrderRefusedError says that an engine did not apply an order.
+// OrderRefusedError reports that an engine did not apply an order.
 type OrderRefusedError struct {
 	Endpoint string
 	Reason   string
 }
 
-// Error names the endpoint and the reason.
+// Error returns the name of the endpoint and the reason.
 func (e *OrderRefusedError) Error() string {
 	return fmt.Sprintf("endpoint %q refused an order: %s", e.Endpoint, e.Reason)
 }
 
-// orderSender sends orders to engines, each on a connection of its own.
+// orderSender sends orders to engines, each over a new connection.
 type orderSender struct {
 	client *http.Client
 }
@@ -67,30 +67,30 @@
 	}}
 }
 
-// guardedBody is a body whose bytes are given out only if a check allows it at that moment.
+// guardedBody is a request body that calls check before each read.
 //
-// The transport reads the body when the connection is made and the bytes are
-// about to be written, so the check is the last step before sending.
+// The transport reads the body after it has connected and directly before it writes the bytes, so the check is the
+// last step before sending.
 type guardedBody struct {
-	check func() error
-	rest  *bytes.Reader
+	check  func() error
+	reader *bytes.Reader
 }
 
-// Read checks before the first byte; its error ends the request before anything whole was sent.
+// Read runs the check first; its error aborts the request before a complete order is sent.
 func (b *guardedBody) Read(p []byte) (int, error) {
 	if err := b.check(); err != nil {
 		return 0, err
 	}
-	return b.rest.Read(p)
+	return b.reader.Read(p)
 }
 
-// send sends an order once; check is called directly before the bytes go out, and its error is returned.
+// send sends an order once. It calls check directly before the bytes are written and returns its error.
 func (s *orderSender) send(ctx context.Context, address string, m *wiregen.EngineOrder, check func() error) error {
 	body, err := protojson.Marshal(m)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+ordersPath, &guardedBody{check: check, rest: bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+ordersPath, &guardedBody{check: check, reader: bytes.NewReader(body)})
 	if err != nil {
 		return err
 	}
--- a/control/orders_codec.go
+++ b/control/orders_codec.go
@@ -29,7 +29,7 @@
 	return configuration.RestoreOrders(decodeDocument(m.GetDocument()), m.GetEvacuated())
 }
 
-// applyOrder returns the orders after one of the log.
+// applyOrder returns the orders with one order of the log applied.
 func applyOrder(o configuration.Orders, m *wiregen.FleetOrder) configuration.Orders {
 	if m.GetDocument() != nil {
 		o = o.WithDocument(decodeDocument(m.GetDocument()))
--- a/control/peers.go
+++ b/control/peers.go
@@ -9,8 +9,8 @@
 	"arbutusreel/keys"
 )
 
-// peers holds one connection to each other control daemon that this one calls. A connection whose call ran out of time
-// is replaced, as it may have gone silent without a reset.
+// peers holds one connection to each other control daemon that this one calls. A connection whose call timed out is
+// replaced, as it may be dead without a reset.
 type peers struct {
 	keys *keys.Source
 
@@ -36,7 +36,7 @@
 	return conn, nil
 }
 
-// drop closes a connection that did not answer in time.
+// drop closes a connection whose call timed out.
 func (p *peers) drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,12 +55,12 @@
 	p.connections = map[string]*grpc.ClientConn{}
 }
 
-// callPeer calls a control daemon and gives its connection up if the call ran out of time.
+// callPeer calls a control daemon and drops the connection if the call's context has ended.
 func callPeer[T any](ctx context.Context, p *peers, address string, call func(context.Context, grpc.ClientConnInterface) (T, error)) (T, error) {
-	var none T
+	var zero T
 	conn, err := p.get(address)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	reply, err := call(ctx, conn)
 	if ctx.Err() != nil {
--- a/control/placement.go
+++ b/control/placement.go
@@ -13,49 +13,49 @@
 	"arbutusreel/wiregen"
 )
 
-// marginPart is the part of the election timeout that must be left of the lease when an order is sent.
-const marginPart = 5
+// leaseMarginDivisor divides the election timeout into the part of the lease that must remain when an order is sent.
+const leaseMarginDivisor = 5
 
-// placer decides placement and orders engines while this voter holds the leader lease.
+// placer decides placement and sends orders to engines while this voter holds the leader lease.
 type placer struct {
-	log       zerolog.Logger
-	now       func() time.Time
-	lead      Leadership
-	inventory func() (*inventory.Inventory, int64)
-	// regions returns what the entries know; those that gave no answer are left out.
+	log        zerolog.Logger
+	now        func() time.Time
+	leadership Leadership
+	inventory  func() (*inventory.Inventory, int64)
+	// regions queries the entries; entries without a reply are left out.
 	regions func(context.Context) []*wiregen.RegionReply
 	sender  *orderSender
 	planner *placement.Planner
 	config  placement.Config
-	demand  *demandLog
+	demand  *demandForecaster
 	term    int64
-	// size is the most models that each endpoint was seen to hold or load.
-	size map[string]int
-	// mu guards the issuer, which is also asked while an order is being sent.
+	// observedCapacity is the largest number of models that each endpoint was observed to hold or load at once.
+	observedCapacity map[string]int
+	// mu guards issuer, which is also used while an order is being sent.
 	mu     sync.Mutex
 	issuer *fencing.Issuer
 }
 
-// newPlacer returns a placer that acts when its tick is called.
-func newPlacer(cfg Config, lead Leadership, inv func() (*inventory.Inventory, int64), regions func(context.Context) []*wiregen.RegionReply, log zerolog.Logger, now func() time.Time) *placer {
-	fence := fencing.Config{LeaseTime: cfg.ElectionTimeout, Deadline: orderDeadline, Margin: cfg.ElectionTimeout / marginPart}
+// newPlacer returns a placer that acts on each call of tick.
+func newPlacer(cfg Config, leadership Leadership, inv func() (*inventory.Inventory, int64), regions func(context.Context) []*wiregen.RegionReply, log zerolog.Logger, now func() time.Time) *placer {
+	fence := fencing.Config{LeaseTime: cfg.ElectionTimeout, Deadline: orderDeadline, Margin: cfg.ElectionTimeout / leaseMarginDivisor}
 	config := placement.DefaultConfig(cfg.PlacementPeriod)
 	return &placer{
-		log:       log,
-		now:       now,
-		lead:      lead,
-		inventory: inv,
-		regions:   regions,
-		sender:    newOrderSender(),
-		planner:   placement.New(config),
-		config:    config,
-		demand:    newDemandLog(),
-		size:      map[string]int{},
-		issuer:    fencing.NewIssuer(fence),
+		log:              log,
+		now:              now,
+		leadership:       leadership,
+		inventory:        inv,
+		regions:          regions,
+		sender:           newOrderSender(),
+		planner:          placement.New(config),
+		config:           config,
+		demand:           newDemandForecaster(),
+		observedCapacity: map[string]int{},
+		issuer:           fencing.NewIssuer(fence),
 	}
 }
 
-// run acts at the period until ctx ends.
+// run calls tick every period until ctx ends.
 func (p *placer) run(ctx context.Context, period time.Duration) {
 	t := time.NewTicker(period)
 	defer t.Stop()
@@ -69,13 +69,13 @@
 	}
 }
 
-// lease returns the leader lease at this moment.
+// lease returns the leader lease at now.
 func (p *placer) lease(now time.Time) fencing.Lease {
-	term, end, held := p.lead.Lease(now)
+	term, end, held := p.leadership.Lease(now)
 	return fencing.Lease{Term: term, End: end, Held: held}
 }
 
-// tick decides once and sends the orders; without the lease it does nothing.
+// tick decides placement once and sends the orders; without the leader lease it does nothing.
 func (p *placer) tick(ctx context.Context) {
 	now := p.now()
 	lease := p.lease(now)
@@ -85,7 +85,7 @@
 	if lease.Term != p.term {
 		p.term = lease.Term
 		p.planner = placement.New(p.config)
-		p.demand = newDemandLog()
+		p.demand = newDemandForecaster()
 	}
 	p.mu.Lock()
 	p.issuer.Lead(now, lease)
@@ -96,23 +96,23 @@
 	}
 	replies := p.regions(ctx)
 	now = p.now()
-	endpoints := endpointsOf(now, replies)
+	endpoints := newestEndpoints(now, replies)
 	p.demand.observe(now, replies)
-	view := placement.View{Inventory: inv, Endpoints: p.known(endpoints), Demands: p.demand.forecast(now)}
+	view := placement.View{Inventory: inv, Endpoints: p.placementEndpoints(endpoints), Demands: p.demand.forecast(now)}
 	changes := p.planner.Decide(now, view)
 	for _, e := range p.planner.Learned() {
-		p.explainLearned(e)
+		p.logAdoptedLoad(e)
 	}
 	for _, c := range changes {
 		service, _ := inv.Service(c.Service)
-		p.order(ctx, c, endpoints[c.Endpoint].Address, service.ChecksFencing, revision)
+		p.sendOrder(ctx, c, endpoints[c.Endpoint].Address, service.ChecksFencing, revision)
 	}
 }
 
-// order sends one change to its engine.
-func (p *placer) order(ctx context.Context, c placement.Change, address string, checks bool, revision int64) {
-	n, err := p.issue(checks)
-	p.explain(c, n, checks, revision, err)
+// sendOrder sends one change to its engine.
+func (p *placer) sendOrder(ctx context.Context, c placement.Change, address string, checks bool, revision int64) {
+	n, err := p.issueNumber(checks)
+	p.logPlacement(c, n, checks, revision, err)
 	if err == nil {
 		m := &wiregen.EngineOrder{
 			Endpoint:       c.Endpoint,
@@ -130,14 +130,14 @@
 	p.log.Warn().Str("placement", c.Endpoint).Int64("term", n.Term).Int64("sequence", n.Sequence).Err(err).Msg("orderFailed")
 }
 
-func (p *placer) issue(checks bool) (fencing.Number, error) {
+func (p *placer) issueNumber(checks bool) (fencing.Number, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	return p.issuer.Issue(now, p.lease(now), checks)
 }
 
-// check reads the clock and the lease again; it is called directly before an order is sent.
+// check checks the order's number against the current time and lease; it is called directly before an order is sent.
 func (p *placer) check(n fencing.Number, checks bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,8 +145,8 @@
 	return p.issuer.Check(now, p.lease(now), n, checks)
 }
 
-// explain logs the decision with its reasons.
-func (p *placer) explain(c placement.Change, n fencing.Number, checks bool, revision int64, err error) {
+// logPlacement logs a placement decision with its reasons.
+func (p *placer) logPlacement(c placement.Change, n fencing.Number, checks bool, revision int64, err error) {
 	event := p.log.Info()
 	if err != nil {
 		event = event.Str("heldBack", err.Error())
@@ -171,8 +171,8 @@
 		Msg("placed")
 }
 
-// explainLearned logs that the load of an earlier leader is waited for.
-func (p *placer) explainLearned(e placement.Endpoint) {
+// logAdoptedLoad logs that a load ordered by an earlier leader is still in progress and awaited.
+func (p *placer) logAdoptedLoad(e placement.Endpoint) {
 	p.log.Info().
 		Str("placement", e.Name).
 		Str("endpointRegion", e.Region).
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -19,15 +19,15 @@
 	"arbutusreel/wiregen"
 )
 
-// bench is the clock, the quorum's word of the leader, and one engine under two placers.
-type bench struct {
-	t       *testing.T
-	mu      sync.Mutex
-	now     time.Time
-	term    int64
-	ends    time.Time
-	engine  *standin.Engine
-	address string
+// fixture provides a clock, the leader leases and one engine that receives orders from two placers.
+type fixture struct {
+	t        *testing.T
+	mu       sync.Mutex
+	now      time.Time
+	term     int64
+	leaseEnd time.Time
+	engine   *standin.Engine
+	address  string
 }
 
 const (
@@ -35,80 +35,82 @@
 	testPeriod  = 100 * time.Millisecond
 )
 
-func newBench(t *testing.T, checks bool) *bench {
+func newFixture(t *testing.T, checks bool) *fixture {
 	t.Helper()
 	e := standin.NewEngine(standin.EngineConfig{
 		Name: "engine", Region: "r", Service: "s", Models: []string{"a"}, Slots: 1, TokenTime: time.Millisecond, ChecksFencing: checks,
 	}, directory.New("", http.DefaultClient))
 	server := httptest.NewServer(e.Handler())
 	t.Cleanup(server.Close)
-	return &bench{t: t, now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), engine: e, address: strings.TrimPrefix(server.URL, "http://")}
+	return &fixture{t: t, now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), engine: e, address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-func (b *bench) clock() time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.now
+func (f *fixture) clock() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.now
 }
 
-// pass lets time pass, in which the present leader renews its lease if it is awake.
-func (b *bench) pass(d time.Duration, renew bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now = b.now.Add(d)
+// advance moves the clock forward; renew extends the lease of the current leader, as an unfrozen leader would.
+func (f *fixture) advance(d time.Duration, renew bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.now = f.now.Add(d)
 	if renew {
-		b.ends = b.now.Add(testTimeout)
+		f.leaseEnd = f.now.Add(testTimeout)
 	}
 }
 
-func (b *bench) elect() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.term++
-	b.ends = b.now.Add(testTimeout)
+func (f *fixture) elect() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.term++
+	f.leaseEnd = f.now.Add(testTimeout)
 }
 
-// voter is the lease of one voter, which a frozen one goes on to hold in its own belief.
-type voter struct {
-	bench *bench
-	term  int64
-	ends  time.Time
+// testVoter provides the leader lease as seen by one voter. A voter that was superseded keeps its last known lease
+// until that lease ends.
+type testVoter struct {
+	fixture  *fixture
+	term     int64
+	leaseEnd time.Time
 }
 
-// Lease answers by the voter's own memory and the clock.
-func (v *voter) Lease(now time.Time) (int64, time.Time, bool) {
-	v.bench.mu.Lock()
-	defer v.bench.mu.Unlock()
-	if v.bench.term == v.term {
-		v.ends = v.bench.ends
+// Lease returns the last lease known to the voter.
+func (v *testVoter) Lease(now time.Time) (int64, time.Time, bool) {
+	v.fixture.mu.Lock()
+	defer v.fixture.mu.Unlock()
+	if v.fixture.term == v.term {
+		v.leaseEnd = v.fixture.leaseEnd
 	}
-	return v.term, v.ends, now.Before(v.ends)
+	return v.term, v.leaseEnd, now.Before(v.leaseEnd)
 }
 
-// region answers what an entry knows: the engine's announcement.
-func (b *bench) region() []*wiregen.RegionReply {
-	models := b.held()
+// regionReplies returns the reply of an entry that knows the engine's announcement.
+func (f *fixture) regionReplies() []*wiregen.RegionReply {
+	models := f.appliedModels()
 	return []*wiregen.RegionReply{{Name: "entry", Region: "r", Endpoints: []*wiregen.EndpointState{{
 		Announcement: &wiregen.Announcement{
-			Name: "engine", Address: b.address, Region: "r", FailureDomain: "d", Service: "s", Models: models, Slots: 1,
+			Name: "engine", Address: f.address, Region: "r", FailureDomain: "d", Service: "s", Models: models, Slots: 1,
 		},
 	}}}}
 }
 
-func (b *bench) held() []string {
+func (f *fixture) appliedModels() []string {
 	var models []string
-	for _, o := range b.engine.AppliedOrders() {
+	for _, o := range f.engine.AppliedOrders() {
 		models = o.Models
 	}
-	if len(b.engine.AppliedOrders()) == 0 {
+	if len(f.engine.AppliedOrders()) == 0 {
 		return []string{"a"}
 	}
 	return models
 }
 
-// placer returns the placer of a voter whose inventory offers one model only.
-func (b *bench) placer(v *voter, model string, checks bool, freeze func()) *placer {
-	b.t.Helper()
+// placer returns the placer of a voter whose inventory has a single model for the service, which makes it order that
+// model.
+func (f *fixture) placer(v *testVoter, model string, checks bool, freeze func()) *placer {
+	f.t.Helper()
 	inv, err := inventory.New(inventory.Contents{
 		Regions:  []inventory.Region{{Name: "r"}},
 		Models:   []inventory.Model{{Name: "a"}, {Name: "b"}},
@@ -117,39 +119,40 @@
 		Rules:    inventory.Rules{MaxPlacementChanges: 1},
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	cfg := Config{ElectionTimeout: testTimeout, PlacementPeriod: testPeriod}
 	regions := func(context.Context) []*wiregen.RegionReply {
 		if freeze != nil {
 			freeze()
 		}
-		return b.region()
+		return f.regionReplies()
 	}
-	return newPlacer(cfg, v, func() (*inventory.Inventory, int64) { return inv, 1 }, regions, zerolog.Nop(), b.clock)
+	return newPlacer(cfg, v, func() (*inventory.Inventory, int64) { return inv, 1 }, regions, zerolog.Nop(), f.clock)
 }
 
-// lead lets a placer act for some seconds of the bench's time.
-func (b *bench) lead(p *placer) {
+// runPlacer runs 60 ticks of a placer, one test period apart.
+func (f *fixture) runPlacer(p *placer) {
 	for range 60 {
-		b.pass(testPeriod, true)
-		p.tick(b.t.Context())
+		f.advance(testPeriod, true)
+		p.tick(f.t.Context())
 	}
 }
 
-// checkOrders checks that no order of an older term was applied after one of a newer term.
-func (b *bench) checkOrders(want string) {
-	b.t.Helper()
-	orders := b.engine.AppliedOrders()
+// checkOrders checks that no order of an older term was applied after one of a newer term, and that the last order
+// names the wanted model.
+func (f *fixture) checkOrders(want string) {
+	f.t.Helper()
+	orders := f.engine.AppliedOrders()
 	if !slices.IsSortedFunc(orders, func(x, y standin.AppliedOrder) int { return int(x.Term - y.Term) }) {
-		b.t.Errorf("orders applied out of term: %+v", orders)
+		f.t.Errorf("orders applied out of term order: %+v", orders)
 	}
 	if len(orders) == 0 || !slices.Equal(orders[len(orders)-1].Models, []string{want}) {
-		b.t.Errorf("the engine was last told by %+v, want model %q", orders, want)
+		f.t.Errorf("orders applied by the engine: %+v; want model %q last", orders, want)
 	}
 }
 
-func eachKind(t *testing.T, test func(t *testing.T, checks bool)) {
+func forEachEngineKind(t *testing.T, test func(t *testing.T, checks bool)) {
 	for _, kind := range []struct {
 		name   string
 		checks bool
@@ -158,17 +161,18 @@
 	}
 }
 
-// TestLeaderFrozenWhileDeciding freezes a leader while it asks the entries, and wakes it after its successor acted.
+// TestLeaderFrozenWhileDeciding checks that a leader that is frozen while it queries the entries, and resumes after its
+// successor has sent orders, cannot apply an outdated order.
 func TestLeaderFrozenWhileDeciding(t *testing.T) {
-	eachKind(t, func(t *testing.T, checks bool) {
-		b := newBench(t, checks)
-		b.elect()
+	forEachEngineKind(t, func(t *testing.T, checks bool) {
+		f := newFixture(t, checks)
+		f.elect()
 		asked, wake := make(chan struct{}), make(chan struct{})
 		freeze := sync.OnceFunc(func() {
 			close(asked)
 			<-wake
 		})
-		old := b.placer(&voter{bench: b, term: 1}, "a", checks, freeze)
+		old := f.placer(&testVoter{fixture: f, term: 1}, "a", checks, freeze)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -177,22 +181,23 @@
 			}
 		}()
 		<-asked
-		b.pass(2*testTimeout, false)
-		b.elect()
-		b.lead(b.placer(&voter{bench: b, term: 2}, "b", checks, nil))
-		b.checkOrders("b")
+		f.advance(2*testTimeout, false)
+		f.elect()
+		f.runPlacer(f.placer(&testVoter{fixture: f, term: 2}, "b", checks, nil))
+		f.checkOrders("b")
 		close(wake)
 		<-done
-		b.checkOrders("b")
+		f.checkOrders("b")
 	})
 }
 
-// TestLeaderFrozenWhileSending freezes a leader after its last decision, while it connects to the engine.
+// TestLeaderFrozenWhileSending checks that a leader that is frozen after its decision, while it connects to the engine,
+// cannot apply its order once a successor has sent orders.
 func TestLeaderFrozenWhileSending(t *testing.T) {
-	eachKind(t, func(t *testing.T, checks bool) {
-		b := newBench(t, checks)
-		b.elect()
-		old := b.placer(&voter{bench: b, term: 1}, "b", checks, nil)
+	forEachEngineKind(t, func(t *testing.T, checks bool) {
+		f := newFixture(t, checks)
+		f.elect()
+		old := f.placer(&testVoter{fixture: f, term: 1}, "b", checks, nil)
 		dialing, wake := make(chan struct{}, 1), make(chan struct{})
 		old.sender.client.Timeout = 0
 		old.sender.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -209,22 +214,22 @@
 				case <-stop:
 					return
 				default:
-					b.pass(testPeriod, true)
+					f.advance(testPeriod, true)
 					old.tick(t.Context())
 				}
 			}
 		}()
 		<-dialing
 		close(stop)
-		b.pass(2*testTimeout, false)
-		b.elect()
-		young := b.placer(&voter{bench: b, term: 2}, "a", checks, nil)
-		b.lead(young)
-		before := len(b.engine.AppliedOrders())
+		f.advance(2*testTimeout, false)
+		f.elect()
+		successor := f.placer(&testVoter{fixture: f, term: 2}, "a", checks, nil)
+		f.runPlacer(successor)
+		before := len(f.engine.AppliedOrders())
 		close(wake)
 		<-done
-		if after := len(b.engine.AppliedOrders()); after != before {
-			t.Errorf("the old leader's order was applied: %+v", b.engine.AppliedOrders())
+		if after := len(f.engine.AppliedOrders()); after != before {
+			t.Errorf("the old leader's order was applied: %+v", f.engine.AppliedOrders())
 		}
 	})
 }
--- a/control/quorum.go
+++ b/control/quorum.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// quorumInputs is the number of inputs that wait for the voter's loop.
-	quorumInputs = 1024
-	// batchInputs is the number of inputs that share one sync.
-	batchInputs = 128
-	// ticksPerHeartbeat is the number of times that the clock is looked at in each heartbeat.
+	// inputQueueLength is the capacity of the event loop's input queue.
+	inputQueueLength = 1024
+	// maxBatchInputs is the largest number of inputs that share one sync.
+	maxBatchInputs = 128
+	// ticksPerHeartbeat is the number of clock ticks per heartbeat interval.
 	ticksPerHeartbeat = 4
-	// retainedEntries is the number of entries before a snapshot that are kept for slow followers.
+	// retainedEntries is the number of entries before a snapshot that are retained for slow followers.
 	retainedEntries = 200
-	// maxJournalGrowth is the number of bytes after which a snapshot is taken, whatever the number of entries.
+	// maxJournalGrowth is the number of appended bytes after which a snapshot is taken, whatever the number of
+	// entries.
 	maxJournalGrowth = 16 << 20
-	// rememberedRevisions is the number of revisions whose time of acceptance is kept.
-	rememberedRevisions = 4096
+	// retainedAcceptTimes is the number of revisions whose acceptance time is retained.
+	retainedAcceptTimes = 4096
 )
 
-// change is a proposal that waits for its entry to be applied.
-type change struct {
+// pendingChange is a proposal whose entry is not applied yet.
+type pendingChange struct {
 	term   int64
 	result chan<- changeResult
 }
@@ -43,56 +44,58 @@
 	err    error
 }
 
-// leaseState is the lease as the loop saw it last.
+// leaseState is the leader lease at the last iteration of the event loop.
 type leaseState struct {
 	term int64
 	end  time.Time
 	held bool
 }
 
-// quorum runs this voter's consensus node; the loop alone touches the node, the disk and the machine.
+// quorum runs this voter's consensus node. The node, the disk and the state machine are accessed by the event loop
+// only.
 type quorum struct {
 	cfg    Config
 	log    zerolog.Logger
 	now    func() time.Time
 	inputs *ring.Ring[func(time.Time)]
 	links  *links
-	// accepted is called with each inventory that is accepted, in order.
-	accepted func(revision int64, whole []byte)
-
-	node    *consensus.Node
-	disk    *disk
-	machine *machine
-	applied int64
-	compact int64
-	changes map[int64]change
-	reads   map[int64]chan<- error
-	tokens  int64
-
-	mu      sync.Mutex
-	current Current
-	whole   []byte
-	changed chan struct{}
-	status  consensus.Status
-	lease   leaseState
-	accepts map[int64]time.Time
-	orders  configuration.Orders
-	// silences are the times since each other member answered this voter as the leader.
-	silences map[consensus.ID]time.Duration
+	// onAccepted is called with each accepted inventory, in order.
+	onAccepted func(revision int64, encoded []byte)
+
+	node           *consensus.Node
+	disk           *disk
+	machine        *stateMachine
+	appliedIndex   int64
+	compactedIndex int64
+	pendingChanges map[int64]pendingChange
+	pendingReads   map[int64]chan<- error
+	lastReadToken  int64
+
+	mu               sync.Mutex
+	current          Current
+	encodedInventory []byte
+	changed          chan struct{}
+	status           consensus.Status
+	lease            leaseState
+	acceptTimes      map[int64]time.Time
+	orders           configuration.Orders
+	// replyAges holds, on the leader, the time since each other member's last reply.
+	replyAges map[consensus.ID]time.Duration
 }
 
 var _ Store = (*quorum)(nil)
 
-// newQuorum returns the voter that the disk remembers, or a new one; a snapshot that cannot be read returns *RecordError.
-func newQuorum(cfg Config, d *disk, r consensus.Restored, l *links, accepted func(int64, []byte), log zerolog.Logger, now func() time.Time) (*quorum, error) {
+// newQuorum returns a voter with the restored state, or a new one if there is none. A snapshot that cannot be decoded
+// returns *RecordError.
+func newQuorum(cfg Config, d *disk, r consensus.Restored, l *links, onAccepted func(int64, []byte), log zerolog.Logger, now func() time.Time) (*quorum, error) {
 	q := &quorum{
-		cfg: cfg, log: log, now: now, links: l, accepted: accepted, disk: d,
-		inputs:  ring.New[func(time.Time)](quorumInputs),
-		machine: newMachine(),
-		changes: map[int64]change{},
-		reads:   map[int64]chan<- error{},
-		changed: make(chan struct{}),
-		accepts: map[int64]time.Time{},
+		cfg: cfg, log: log, now: now, links: l, onAccepted: onAccepted, disk: d,
+		inputs:         ring.New[func(time.Time)](inputQueueLength),
+		machine:        newStateMachine(),
+		pendingChanges: map[int64]pendingChange{},
+		pendingReads:   map[int64]chan<- error{},
+		changed:        make(chan struct{}),
+		acceptTimes:    map[int64]time.Time{},
 	}
 	if err := q.install(r.Snapshot); err != nil {
 		return nil, err
@@ -105,7 +108,7 @@
 		ElectionTimeout: cfg.ElectionTimeout,
 		RetainedEntries: retainedEntries,
 	}, r, now(), rand.New(rand.NewPCG(uint64(now().UnixNano()), rand.Uint64())))
-	q.accept()
+	q.publishInventory()
 	q.publish(now())
 	return q, nil
 }
@@ -122,12 +125,12 @@
 	return all
 }
 
-// input gives the loop something to do.
-func (q *quorum) input(ctx context.Context, f func(now time.Time)) error {
+// enqueue queues a function for the event loop.
+func (q *quorum) enqueue(ctx context.Context, f func(now time.Time)) error {
 	return q.inputs.Put(ctx, f)
 }
 
-// run serves inputs until ctx ends; it returns an error if the disk fails, after which the process must stop.
+// run runs the event loop until ctx ends. It returns an error if the disk fails, after which the process must stop.
 func (q *quorum) run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -140,13 +143,13 @@
 			return nil
 		}
 		f(q.now())
-		for n := q.inputs.Len(); n > 0 && n < batchInputs; n-- {
+		for n := q.inputs.Len(); n > 0 && n < maxBatchInputs; n-- {
 			if f, err = q.inputs.Take(ctx); err != nil {
 				return nil
 			}
 			f(q.now())
 		}
-		if err := q.carryOut(); err != nil {
+		if err := q.processActions(); err != nil {
 			return err
 		}
 	}
@@ -165,9 +168,9 @@
 	}
 }
 
-// carryOut persists, sends and applies what the node asks for, in this order; a snapshot that cannot be read is not
-// persisted.
-func (q *quorum) carryOut() error {
+// processActions persists, sends and applies what the node requires, in this order. A snapshot that cannot be decoded
+// is not persisted.
+func (q *quorum) processActions() error {
 	a := q.node.Actions()
 	if err := q.install(a.Install); err != nil {
 		return err
@@ -178,7 +181,7 @@
 	for _, m := range a.Messages {
 		q.links.send(m)
 	}
-	q.accept()
+	q.publishInventory()
 	for _, e := range a.Committed {
 		if err := q.apply(e); err != nil {
 			return err
@@ -186,66 +189,69 @@
 	}
 	q.answerReads(a.Reads)
 	q.publish(q.now())
-	if q.applied-q.compact < int64(q.cfg.SnapshotEntries) && q.disk.grown() < maxJournalGrowth {
+	if q.appliedIndex-q.compactedIndex < int64(q.cfg.SnapshotEntries) && q.disk.growth() < maxJournalGrowth {
 		return nil
 	}
-	q.compact = q.applied
-	return q.disk.replace(q.node.Compact(q.applied, q.machine.snapshot()))
+	q.compactedIndex = q.appliedIndex
+	return q.disk.compact(q.node.Compact(q.appliedIndex, q.machine.snapshot()))
 }
 
-// install replaces the replicated state, which accept makes known; without a snapshot the state stays. A snapshot that
-// cannot be read returns *RecordError, after which this voter cannot go on.
+// install replaces the replicated state by a snapshot, if there is one; publishInventory makes it visible. A snapshot
+// that cannot be decoded returns *RecordError, after which this voter cannot continue.
 func (q *quorum) install(s *consensus.Snapshot) error {
 	if s == nil {
 		return nil
 	}
-	m, err := restoreMachine(s.Data)
-	if err := q.outlive(err, s.Index); err != nil {
+	m, err := restoreStateMachine(s.Data)
+	if err := q.tolerateRefusedInventory(err, s.Index); err != nil {
 		return err
 	}
 	q.machine = m
-	q.applied, q.compact = s.Index, s.Index
+	q.appliedIndex, q.compactedIndex = s.Index, s.Index
 	return nil
 }
 
-// outlive logs the refusal of an inventory that the quorum accepted, and returns any other error.
-func (q *quorum) outlive(err error, index int64) error {
+// tolerateRefusedInventory logs an *InventoryRefusedError, as the quorum has already accepted the inventory, and
+// returns any other error.
+func (q *quorum) tolerateRefusedInventory(err error, index int64) error {
 	var refused *InventoryRefusedError
 	if !errors.As(err, &refused) {
 		return err
 	}
-	q.log.Error().Err(err).Int64("index", index).Msg("inventoryRefused")
+	q.log.Error().Err(err).Int64("index", index).Msg("accepted inventory is not valid for this version")
 	return nil
 }
 
-// apply applies an entry and answers who waits for it; an error says that this voter cannot go on.
+// apply applies a committed entry and completes the pending change at its index. After an error this voter cannot
+// continue.
 func (q *quorum) apply(e consensus.Entry) error {
-	q.applied = e.Index
+	q.appliedIndex = e.Index
 	result := changeResult{}
 	if e.Kind == consensus.CommandEntry {
 		var err error
 		result.answer, err = q.machine.apply(e.Data)
-		if err := q.outlive(err, e.Index); err != nil {
+		if err := q.tolerateRefusedInventory(err, e.Index); err != nil {
 			return err
 		}
-		q.accept()
+		q.publishInventory()
 	}
 	if e.Kind == consensus.MembersEntry {
-		q.log.Info().Int64("index", e.Index).Int64("term", e.Term).Strs("members", describe(e.Members)).Msg("membersChanged")
+		q.log.Info().Int64("index", e.Index).Int64("term", e.Term).Strs("members", describeMembers(e.Members)).
+			Msg("members changed")
 	}
-	waiting, ok := q.changes[e.Index]
-	delete(q.changes, e.Index)
+	pending, ok := q.pendingChanges[e.Index]
+	delete(q.pendingChanges, e.Index)
 	switch {
 	case !ok:
-	case waiting.term != e.Term:
-		waiting.result <- changeResult{err: q.notLeader()}
+	case pending.term != e.Term:
+		pending.result <- changeResult{err: q.notLeader()}
 	default:
-		waiting.result <- result
+		pending.result <- result
 	}
 	return nil
 }
 
-func describe(members consensus.Members) []string {
+func describeMembers(members consensus.Members) []string {
 	var all []string
 	for _, m := range members {
 		role := "learner"
@@ -257,8 +263,8 @@
 	return all
 }
 
-// accept publishes the inventory in force if it is newer.
-func (q *quorum) accept() {
+// publishInventory publishes the operators' orders, and the inventory in force if its revision changed.
+func (q *quorum) publishInventory() {
 	revision := q.machine.state.Revision()
 	q.mu.Lock()
 	q.orders = q.machine.orders
@@ -267,20 +273,20 @@
 		return
 	}
 	q.current = Current{Inventory: q.machine.state.Inventory(), Revision: revision}
-	q.whole = q.machine.whole
-	q.accepts[revision] = q.now()
-	delete(q.accepts, revision-rememberedRevisions)
+	q.encodedInventory = q.machine.encodedInventory
+	q.acceptTimes[revision] = q.now()
+	delete(q.acceptTimes, revision-retainedAcceptTimes)
 	close(q.changed)
 	q.changed = make(chan struct{})
 	q.mu.Unlock()
-	q.accepted(revision, q.machine.whole)
+	q.onAccepted(revision, q.machine.encodedInventory)
 }
 
-// answerReads answers the reads whose index is applied; Committed was applied before.
+// answerReads completes reads whose index is applied. It must run after the committed entries are applied.
 func (q *quorum) answerReads(reads []consensus.ReadResult) {
 	for _, r := range reads {
-		result := q.reads[r.Token]
-		delete(q.reads, r.Token)
+		result := q.pendingReads[r.Token]
+		delete(q.pendingReads, r.Token)
 		if result == nil {
 			continue
 		}
@@ -292,41 +298,42 @@
 	}
 }
 
-// publish makes the status and the lease known to other goroutines.
+// publish makes the status and the lease visible to other goroutines.
 func (q *quorum) publish(now time.Time) {
 	status := q.node.Status(now)
 	term, end, held := q.node.Lease(now)
 	q.mu.Lock()
 	before := q.status
 	q.status = status
-	q.silences = q.node.Silences(now)
+	q.replyAges = q.node.Silences(now)
 	q.lease = leaseState{term: term, end: end, held: held}
 	q.mu.Unlock()
 	if before.Leader != status.Leader || before.Leads != status.Leads {
-		q.log.Info().Int64("term", status.Term).Str("leader", status.Leader.Name).Bool("leads", status.Leads).Msg("leaderChanged")
+		q.log.Info().Int64("term", status.Term).Str("leader", status.Leader.Name).Bool("leads", status.Leads).Msg("leader changed")
 	}
 	if before.Leads && !status.Leads {
-		q.failChanges()
+		q.failPendingChanges()
 	}
 }
 
-// failChanges answers the changes of a leader that stepped down: they may still be accepted.
-func (q *quorum) failChanges() {
-	for index, waiting := range q.changes {
-		waiting.result <- changeResult{err: changeUnknown("the leader stepped down before the change was decided")}
-		delete(q.changes, index)
+// failPendingChanges completes all pending changes with an unknown outcome after the leader stepped down, as they may
+// still be accepted.
+func (q *quorum) failPendingChanges() {
+	for index, pending := range q.pendingChanges {
+		pending.result <- changeResult{err: changeUnknown("the leader stepped down before the change was decided")}
+		delete(q.pendingChanges, index)
 	}
 }
 
-// transfer hands leadership over before a planned stop.
+// transfer transfers leadership to another voter before a planned stop.
 func (q *quorum) transfer(ctx context.Context) {
 	done := make(chan bool, 1)
-	if q.input(ctx, func(now time.Time) { done <- q.node.Transfer(now) }) != nil {
+	if q.enqueue(ctx, func(now time.Time) { done <- q.node.Transfer(now) }) != nil {
 		return
 	}
 	select {
 	case transferred := <-done:
-		q.log.Info().Bool("transferred", transferred).Msg("leadershipHandedOver")
+		q.log.Info().Bool("transferred", transferred).Msg("leadership transfer finished")
 	case <-ctx.Done():
 	}
 }
@@ -340,14 +347,14 @@
 	return current
 }
 
-// wholeInForce returns the encoded inventory in force at this voter.
-func (q *quorum) wholeInForce() (revision int64, whole []byte) {
+// currentEncoded returns the encoded inventory in force at this voter.
+func (q *quorum) currentEncoded() (revision int64, encoded []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.current.Revision, q.whole
+	return q.current.Revision, q.encodedInventory
 }
 
-// Status returns what this voter knows of the quorum.
+// Status returns this voter's view of the quorum.
 func (q *quorum) Status() consensus.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -356,38 +363,38 @@
 	return status
 }
 
-// Orders returns the operators' orders in force at this voter, which may be behind.
+// Orders returns the operators' orders in force at this voter, which may be behind the leader's.
 func (q *quorum) Orders() configuration.Orders {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.orders
 }
 
-// silentVoter returns a voter that has not answered this leader for a time.
-func (q *quorum) silentVoter(silence time.Duration) (consensus.ID, bool) {
+// unresponsiveVoter returns a voter that has not replied to this leader for the timeout.
+func (q *quorum) unresponsiveVoter(timeout time.Duration) (consensus.ID, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, m := range q.status.Members {
-		if m.Voter && q.status.Leads && q.silences[m.ID] >= silence {
+		if m.Voter && q.status.Leads && q.replyAges[m.ID] >= timeout {
 			return m.ID, true
 		}
 	}
 	return consensus.ID{}, false
 }
 
-// Lease returns the leader lease.
+// Lease returns the leader lease; ok is false if it is not held or has ended at now.
 func (q *quorum) Lease(now time.Time) (term int64, end time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.lease.term, q.lease.end, q.lease.held && now.Before(q.lease.end)
 }
 
-// AcceptedAt returns when this voter learned that a revision, or the lowest higher one that it remembers, was accepted.
+// AcceptedAt returns when this voter learned that a revision, or the lowest retained higher one, was accepted.
 func (q *quorum) AcceptedAt(revision int64) (at time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	lowest := int64(math.MaxInt64)
-	for accepted, when := range q.accepts {
+	for accepted, when := range q.acceptTimes {
 		if accepted >= revision && accepted < lowest {
 			lowest, at, ok = accepted, when, true
 		}
--- a/control/quorum_test.go
+++ b/control/quorum_test.go
@@ -17,7 +17,7 @@
 	"arbutusreel/problem"
 )
 
-// failingFiles are a folder whose files fail to sync after a number of syncs.
+// failingFiles is a folder whose files fail to sync after the given number of syncs.
 type failingFiles struct {
 	*journal.Folder
 	syncs int
@@ -41,8 +41,8 @@
 	return f.File.Sync()
 }
 
-// single starts a quorum of one voter, and returns it with the result of its loop.
-func single(t testing.TB, syncs int) (*quorum, <-chan error) {
+// startSingleVoter starts a quorum of one voter and returns it with the channel for the result of its event loop.
+func startSingleVoter(t testing.TB, syncs int) (*quorum, <-chan error) {
 	t.Helper()
 	folder, err := journal.OpenFolder(t.TempDir())
 	if err != nil {
@@ -74,7 +74,7 @@
 	return q, failed
 }
 
-func (q *quorum) untilLed(t testing.TB) {
+func (q *quorum) waitForLease(t testing.TB) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if _, _, ok := q.Lease(time.Now()); ok {
@@ -88,11 +88,11 @@
 
 func TestFailedSyncStopsVoter(t *testing.T) {
 	const syncsToLead = 2
-	q, failed := single(t, syncsToLead)
-	q.untilLed(t)
+	q, failed := startSingleVoter(t, syncsToLead)
+	q.waitForLease(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err := q.Propose(ctx, configuration.Change{ID: "lost", Inventory: sized(t, 1, 1)})
+	_, err := q.Propose(ctx, configuration.Change{ID: "lost", Inventory: newTestInventory(t, 1, 1)})
 	var p *problem.Problem
 	if !errors.As(err, &p) || p.Code != problem.ChangeUnknown || p.Outcome != problem.Unknown {
 		t.Errorf("the change was answered %v", err)
@@ -106,38 +106,39 @@
 	}
 }
 
-// TestUnreadableSnapshotStopsVoter installs a snapshot that cannot be read in a voter that has a revision in force.
+// TestUnreadableSnapshotStopsVoter checks that a snapshot that cannot be decoded is refused at installation and at
+// start, and that the revision in force stays.
 func TestUnreadableSnapshotStopsVoter(t *testing.T) {
-	q, _ := single(t, 1<<30)
-	q.untilLed(t)
-	if _, err := q.Propose(t.Context(), configuration.Change{ID: "kept", Inventory: sized(t, 1, 1)}); err != nil {
+	q, _ := startSingleVoter(t, 1<<30)
+	q.waitForLease(t)
+	if _, err := q.Propose(t.Context(), configuration.Change{ID: "kept", Inventory: newTestInventory(t, 1, 1)}); err != nil {
 		t.Fatal(err)
 	}
 	installed := make(chan error, 1)
-	if err := q.input(t.Context(), func(time.Time) { installed <- q.install(&consensus.Snapshot{Index: 100, Data: []byte("unreadable")}) }); err != nil {
+	if err := q.enqueue(t.Context(), func(time.Time) { installed <- q.install(&consensus.Snapshot{Index: 100, Data: []byte("unreadable")}) }); err != nil {
 		t.Fatal(err)
 	}
 	var unreadable *RecordError
 	if err := <-installed; !errors.As(err, &unreadable) {
 		t.Errorf("the snapshot was answered %v", err)
 	}
-	q.untilLed(t)
-	if revision, whole := q.wholeInForce(); revision != 1 || len(whole) == 0 {
-		t.Errorf("revision %d with %d bytes is in force", revision, len(whole))
+	q.waitForLease(t)
+	if revision, encoded := q.currentEncoded(); revision != 1 || len(encoded) == 0 {
+		t.Errorf("revision %d with %d bytes is in force", revision, len(encoded))
 	}
 	restored := consensus.Restored{Snapshot: &consensus.Snapshot{Index: 100, Data: []byte("unreadable")}}
-	if _, err := newQuorum(q.cfg, q.disk, restored, q.links, q.accepted, zerolog.Nop(), time.Now); !errors.As(err, &unreadable) {
+	if _, err := newQuorum(q.cfg, q.disk, restored, q.links, q.onAccepted, zerolog.Nop(), time.Now); !errors.As(err, &unreadable) {
 		t.Errorf("a start from the snapshot was answered %v", err)
 	}
 }
 
-// BenchmarkPropose decides changes one after another, and many at once, in a quorum of one voter with a disk.
+// BenchmarkPropose decides changes sequentially and in parallel in a quorum of one voter with a disk.
 func BenchmarkPropose(b *testing.B) {
-	inv := sized(b, 90, 1)
+	inv := newTestInventory(b, 90, 1)
 	for _, parallel := range []int{1, 16} {
 		b.Run(fmt.Sprint(parallel), func(b *testing.B) {
-			q, _ := single(b, 1<<30)
-			q.untilLed(b)
+			q, _ := startSingleVoter(b, 1<<30)
+			q.waitForLease(b)
 			b.SetParallelism(parallel)
 			b.ResetTimer()
 			n := make(chan int, b.N)
@@ -167,7 +168,7 @@
 
 func TestAcceptedAtFindsNextRemembered(t *testing.T) {
 	first, second := time.Unix(5, 0), time.Unix(9, 0)
-	q := &quorum{accepts: map[int64]time.Time{5: first, 9: second}}
+	q := &quorum{acceptTimes: map[int64]time.Time{5: first, 9: second}}
 	for _, c := range []struct {
 		revision int64
 		want     time.Time
--- a/control/regions.go
+++ b/control/regions.go
@@ -18,14 +18,14 @@
 	"arbutusreel/wiregen"
 )
 
-// endpointReplies is the number of entries of each region that are asked for its endpoints.
-const endpointReplies = 2
+// endpointQueriesPerRegion is the number of entries in each region that are queried for its endpoints.
+const endpointQueriesPerRegion = 2
 
-// regionTimeout bounds one question to an entry.
+// regionTimeout limits the time of one query to an entry.
 const regionTimeout = time.Second
 
-// askRegion returns what one entry knows of its region.
-func (c *Control) askRegion(ctx context.Context, e membership.Entry, m *wiregen.RegionRequest) (*wiregen.RegionReply, error) {
+// queryRegion returns what one entry knows about its region.
+func (c *Control) queryRegion(ctx context.Context, e membership.Entry, m *wiregen.RegionRequest) (*wiregen.RegionReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, regionTimeout)
 	defer cancel()
 	conn, err := grpc.NewClient("passthrough:///"+e.PeerAddress, grpc.WithTransportCredentials(c.cfg.Keys.Client(e.Name)))
@@ -36,18 +36,19 @@
 	return wiregen.NewPlacementClient(conn).Region(ctx, m)
 }
 
-// askRegions asks all of the entries at once, the first ones of each region also for its endpoints; those that give no answer are left out.
-func (c *Control) askRegions(ctx context.Context, entries []membership.Entry) []*wiregen.RegionReply {
-	asked := map[string]int{}
+// queryRegions queries all entries concurrently, and the first entries of each region also for its endpoints. Entries
+// without a reply are left out.
+func (c *Control) queryRegions(ctx context.Context, entries []membership.Entry) []*wiregen.RegionReply {
+	queried := map[string]int{}
 	replies := make([]*wiregen.RegionReply, len(entries))
 	var wg sync.WaitGroup
 	for i, e := range entries {
-		m := &wiregen.RegionRequest{Endpoints: !e.Leaving && asked[e.Region] < endpointReplies}
-		asked[e.Region]++
+		m := &wiregen.RegionRequest{Endpoints: !e.Leaving && queried[e.Region] < endpointQueriesPerRegion}
+		queried[e.Region]++
 		wg.Go(func() {
-			reply, err := c.askRegion(ctx, e, m)
+			reply, err := c.queryRegion(ctx, e, m)
 			if err != nil {
-				c.log.Debug().Str("entry", e.Name).Err(err).Msg("entryUnreachable")
+				c.log.Debug().Str("entry", e.Name).Err(err).Msg("entry unreachable")
 				return
 			}
 			replies[i] = reply
@@ -57,34 +58,34 @@
 	return slices.DeleteFunc(replies, func(r *wiregen.RegionReply) bool { return r == nil })
 }
 
-// entries returns every entry that the voters' direct followers know of, in the order of their names.
+// entries returns all entries known to the voters' direct followers, sorted by name.
 func (c *Control) entries(ctx context.Context) []membership.Entry {
-	known := c.askVoters(ctx).entries
-	direct := slices.Collect(maps.Values(known))
-	for _, reply := range c.askRegions(ctx, direct) {
+	byName := c.queryVoters(ctx).entries
+	directEntries := slices.Collect(maps.Values(byName))
+	for _, reply := range c.queryRegions(ctx, directEntries) {
 		for _, e := range wire.DecodeEntries(reply.GetEntries()) {
-			known[e.Name] = e
+			byName[e.Name] = e
 		}
 	}
-	all := make([]membership.Entry, 0, len(known))
-	for _, e := range known {
+	all := make([]membership.Entry, 0, len(byName))
+	for _, e := range byName {
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b membership.Entry) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
-// listEntries answers the entries of all regions.
+// listEntries returns the entries of all regions.
 func (c *Control) listEntries(r *http.Request) (proto.Message, error) {
 	return &wiregen.EntriesReply{Entries: wire.EncodeEntries(c.entries(r.Context()))}, nil
 }
 
-// place runs the placement duty until ctx ends.
-func (c *Control) place(ctx context.Context) {
+// runPlacement runs the placer until ctx ends.
+func (c *Control) runPlacement(ctx context.Context) {
 	inForce := func() (*inventory.Inventory, int64) {
 		current := c.store.Current()
 		return current.Inventory, current.Revision
 	}
-	ask := func(ctx context.Context) []*wiregen.RegionReply { return c.askRegions(ctx, c.entries(ctx)) }
-	newPlacer(c.cfg, c.store, inForce, ask, c.log, c.now).run(ctx, c.cfg.PlacementPeriod)
+	query := func(ctx context.Context) []*wiregen.RegionReply { return c.queryRegions(ctx, c.entries(ctx)) }
+	newPlacer(c.cfg, c.store, inForce, query, c.log, c.now).run(ctx, c.cfg.PlacementPeriod)
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// decisionTimeout bounds the wait for a change to be decided, or for a read to be confirmed.
+	// decisionTimeout limits the wait for the decision on a change or the confirmation of a read.
 	decisionTimeout = 5 * time.Second
-	// leaderRetry is when to come back after a refusal for want of a leader.
-	leaderRetry = 500 * time.Millisecond
+	// leaderRetryAfter is the Retry-After time of a refusal because no leader is reachable or another change is pending.
+	leaderRetryAfter = 500 * time.Millisecond
 )
 
-// notLeader returns the problem that names the leader as far as it is known.
+// notLeader returns a problem that names the leader, if one is known.
 func (q *quorum) notLeader() *problem.Problem {
 	leader := q.Status().Leader.Name
 	if leader == "" {
-		return problem.New(problem.QuorumUnavailable, http.StatusServiceUnavailable, "voter %q knows no leader", q.cfg.Name).WithRetryAfter(leaderRetry)
+		return problem.New(problem.QuorumUnavailable, http.StatusServiceUnavailable, "voter %q knows no leader", q.cfg.Name).WithRetryAfter(leaderRetryAfter)
 	}
 	return problem.New(problem.QuorumUnavailable, http.StatusMisdirectedRequest, "voter %q is not the leader; the leader is %q", q.cfg.Name, leader)
 }
 
-// changeUnknown returns the problem of a change that may or may not be accepted.
+// changeUnknown returns the problem for a change whose outcome is unknown.
 func changeUnknown(reason string) *problem.Problem {
 	return problem.New(problem.ChangeUnknown, http.StatusGatewayTimeout, "%s; send it again with the same change id", reason).WithOutcome(problem.Unknown)
 }
 
-// refusal returns the problem of a consensus error.
-func (q *quorum) refusal(err error) *problem.Problem {
+// consensusProblem converts a consensus error to a problem.
+func (q *quorum) consensusProblem(err error) *problem.Problem {
 	var (
 		exists  *consensus.MemberExistsError
 		unknown *consensus.UnknownMemberError
@@ -46,7 +46,7 @@
 	case errors.As(err, &unknown):
 		return problem.New(problem.UnknownMember, http.StatusNotFound, "%s", err.Error())
 	case errors.As(err, &pending):
-		return problem.New(problem.ChangePending, http.StatusConflict, "%s", err.Error()).WithRetryAfter(leaderRetry)
+		return problem.New(problem.ChangePending, http.StatusConflict, "%s", err.Error()).WithRetryAfter(leaderRetryAfter)
 	case errors.As(err, &risk):
 		return problem.New(problem.QuorumAtRisk, http.StatusConflict, "%s", err.Error())
 	default:
@@ -54,69 +54,74 @@
 	}
 }
 
-// Propose decides a change through the quorum.
+// Propose proposes a change to the quorum and waits for the decision.
 func (q *quorum) Propose(ctx context.Context, c configuration.Change) (configuration.Answer, error) {
-	revision, whole := q.wholeInForce()
-	command := encodeCommand(c, revision, whole)
-	return q.decide(ctx, func(now time.Time) (index, term int64, err error) { return q.node.Propose(now, command) })
+	revision, encoded := q.currentEncoded()
+	command := encodeCommand(c, revision, encoded)
+	return q.proposeAndWait(ctx, func(now time.Time) (index, term int64, err error) {
+		return q.node.Propose(now, command)
+	})
 }
 
-// givenAnswer is the answer to a change id, if one was given.
-type givenAnswer struct {
+// recordedAnswer is the recorded answer to a change id; ok is false if there is none.
+type recordedAnswer struct {
 	answer configuration.Answer
 	ok     bool
 }
 
-// Answered returns the answer that was given to a change id as far as this voter has applied the log.
+// Answered returns the recorded answer to a change id, as of the last entry that this voter has applied.
 func (q *quorum) Answered(ctx context.Context, changeID string) (configuration.Answer, bool, error) {
-	given, err := look(ctx, q, func(m *machine) givenAnswer {
+	recorded, err := readState(ctx, q, func(m *stateMachine) recordedAnswer {
 		answer, ok := m.state.Answer(changeID)
-		return givenAnswer{answer: answer, ok: ok}
+		return recordedAnswer{answer: answer, ok: ok}
 	})
-	return given.answer, given.ok, err
+	return recorded.answer, recorded.ok, err
 }
 
-// keptHistory is the history of a voter with the inventory in force.
-type keptHistory struct {
-	history *configuration.History
-	whole   []byte
+// historyCopy is a copy of a voter's history with the encoded inventory in force.
+type historyCopy struct {
+	history          *configuration.History
+	encodedInventory []byte
 }
 
-// History returns the newest accepted changes as far as this voter has applied the log.
+// History returns the newest accepted changes and the encoded inventory in force, as of the last entry that this
+// voter has applied.
 func (q *quorum) History(ctx context.Context) (*configuration.History, []byte, error) {
-	kept, err := look(ctx, q, func(m *machine) keptHistory {
-		return keptHistory{history: configuration.RestoreHistory(m.history.Records()), whole: m.whole}
+	copied, err := readState(ctx, q, func(m *stateMachine) historyCopy {
+		return historyCopy{history: configuration.RestoreHistory(m.history.Records()), encodedInventory: m.encodedInventory}
 	})
-	return kept.history, kept.whole, err
+	return copied.history, copied.encodedInventory, err
 }
 
-// look returns what f reads of the replicated state, between two inputs of the loop.
-func look[T any](ctx context.Context, q *quorum, f func(*machine) T) (T, error) {
+// readState runs f on the replicated state in the event loop, between two inputs, and returns its result.
+func readState[T any](ctx context.Context, q *quorum, f func(*stateMachine) T) (T, error) {
 	result := make(chan T, 1)
-	var none T
-	if err := q.input(ctx, func(time.Time) { result <- f(q.machine) }); err != nil {
-		return none, q.notLeader()
+	var zero T
+	if err := q.enqueue(ctx, func(time.Time) { result <- f(q.machine) }); err != nil {
+		return zero, q.notLeader()
 	}
 	select {
-	case found := <-result:
-		return found, nil
+	case value := <-result:
+		return value, nil
 	case <-ctx.Done():
-		return none, q.notLeader()
+		return zero, q.notLeader()
 	}
 }
 
-// Add adds a member; one that is there with the same disk is a success.
+// Add adds a member; adding a member that is present with the same disk succeeds.
 func (q *quorum) Add(ctx context.Context, id consensus.ID, address string) error {
-	_, err := q.decide(ctx, func(now time.Time) (index, term int64, err error) { return q.node.Add(now, id, address) })
+	_, err := q.proposeAndWait(ctx, func(now time.Time) (index, term int64, err error) {
+		return q.node.Add(now, id, address)
+	})
 	if member, ok := q.Status().Members.Find(id.Name); err != nil && ok && member.ID == id {
 		return nil
 	}
 	return err
 }
 
-// Remove removes a member; one that is there with another disk is refused.
+// Remove removes a member; the request is refused if the member is present with another disk.
 func (q *quorum) Remove(ctx context.Context, id consensus.ID) error {
-	_, err := q.decide(ctx, func(now time.Time) (index, term int64, err error) {
+	_, err := q.proposeAndWait(ctx, func(now time.Time) (index, term int64, err error) {
 		member, ok := q.node.Status(now).Members.Find(id.Name)
 		if ok && id.Disk != "" && member.ID != id {
 			return 0, 0, &consensus.MemberExistsError{Member: member}
@@ -126,19 +131,19 @@
 	return err
 }
 
-// decide appends an entry and waits until it is applied. A failure before the
-// entry was appended says so; after it the outcome is unknown.
-func (q *quorum) decide(ctx context.Context, propose func(now time.Time) (index, term int64, err error)) (configuration.Answer, error) {
+// proposeAndWait appends an entry and waits until it is applied. A failure before the entry is appended returns the
+// reason; after that the outcome of the change is unknown.
+func (q *quorum) proposeAndWait(ctx context.Context, propose func(now time.Time) (index, term int64, err error)) (configuration.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
 	result := make(chan changeResult, 1)
-	err := q.input(ctx, func(now time.Time) {
+	err := q.enqueue(ctx, func(now time.Time) {
 		index, term, err := propose(now)
 		if err != nil {
-			result <- changeResult{err: q.refusal(err)}
+			result <- changeResult{err: q.consensusProblem(err)}
 			return
 		}
-		q.changes[index] = change{term: term, result: result}
+		q.pendingChanges[index] = pendingChange{term: term, result: result}
 	})
 	if err != nil {
 		return configuration.Answer{}, q.notLeader()
@@ -151,17 +156,17 @@
 	}
 }
 
-// Confirm returns once this voter, as the leader, is known to be current.
+// Confirm returns once this voter, as the leader, is confirmed to be current.
 func (q *quorum) Confirm(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
 	result := make(chan error, 1)
-	err := q.input(ctx, func(now time.Time) {
-		q.tokens++
-		q.reads[q.tokens] = result
-		if err := q.node.Read(now, q.tokens); err != nil {
-			delete(q.reads, q.tokens)
-			result <- q.refusal(err)
+	err := q.enqueue(ctx, func(now time.Time) {
+		q.lastReadToken++
+		q.pendingReads[q.lastReadToken] = result
+		if err := q.node.Read(now, q.lastReadToken); err != nil {
+			delete(q.pendingReads, q.lastReadToken)
+			result <- q.consensusProblem(err)
 		}
 	})
 	if err != nil {
