--- a/configuration/doc.go
+++ b/configuration/doc.go
@@ -1,7 +1,8 @@
-// Package configuration is the replicated state of the operators' inventory.
+// Package configuration holds the replicated state of the operators' inventory,
+// the history of its changes, and the operators' orders.
 //
-// A change names the revision that it expects and an id of its own. The state
-// accepts it only if the expected revision is in force, and answers a change
-// id that it has seen with its first answer. State is deterministic and pure:
-// every voter applies the same changes in the same order.
+// Each change has an ID and the revision that it expects. State accepts it only
+// if that revision is in force, and answers a change ID whose answer it keeps
+// with that first answer, so that a change can be resent safely. State is
+// deterministic: every voter applies the same changes in the same order.
 package configuration
--- a/configuration/errors.go
+++ b/configuration/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// ForgottenRevisionError says that the inventory of a revision is not kept.
+// ForgottenRevisionError reports that the history does not retain the inventory of a revision.
 type ForgottenRevisionError struct {
 	Revision int64
-	// Oldest is the oldest revision that is kept; zero if none is.
+	// Oldest is the oldest revision that is retained, or zero if none is.
 	Oldest int64
 }
 
-// Error names the revisions.
+// Error names the requested and the oldest retained revision.
 func (e *ForgottenRevisionError) Error() string {
-	return fmt.Sprintf("the inventory of revision %d is not kept; the oldest one is that of revision %d", e.Revision, e.Oldest)
+	return fmt.Sprintf("the inventory of revision %d is not retained; the oldest retained revision is %d", e.Revision, e.Oldest)
 }
--- a/configuration/history.go
+++ b/configuration/history.go
@@ -7,7 +7,7 @@
 	"arbutusreel/distribution"
 )
 
-// Bounds of a history: its records, and the bytes of what they undo.
+// Limits of a history: the number of records, and the total size of their Undo deltas in bytes.
 const (
 	maxRecords   = 500
 	maxUndoBytes = 1 << 20
@@ -17,20 +17,20 @@
 type Record struct {
 	Revision int64
 	ChangeID string
-	// Operator is who made the change, as told by themselves; At is the leader's time.
+	// Operator is the self-reported name of the operator who made the change; At is the time on the leader's clock.
 	Operator string
 	At       time.Time
-	// Undo leads from the encoded inventory of the revision back to the one before.
+	// Undo is the delta from the encoded inventory of this revision to that of the previous one.
 	Undo distribution.Delta
 }
 
-// History is the newest accepted changes in the order of their revisions. The zero value is empty.
+// History holds the newest accepted changes in ascending order of revision. The zero value is empty.
 type History struct {
 	records   []Record
 	undoBytes int
 }
 
-// RestoreHistory returns a history of records in the order of their revisions.
+// RestoreHistory returns a history of records, which must be in ascending order of revision.
 func RestoreHistory(records []Record) *History {
 	h := &History{}
 	for _, r := range records {
@@ -39,7 +39,7 @@
 	return h
 }
 
-// Add appends the record of the revision that is now in force, and forgets the oldest beyond the bounds.
+// Add appends the record of the revision that is now in force, and evicts the oldest records beyond the limits.
 func (h *History) Add(r Record) {
 	h.records = append(h.records, r)
 	h.undoBytes += len(r.Undo.Middle)
@@ -50,27 +50,27 @@
 	}
 }
 
-// Records returns a copy of the records, the oldest first.
+// Records returns a copy of the records, oldest first.
 func (h *History) Records() []Record { return slices.Clone(h.records) }
 
-// At returns the encoded inventory of a revision, given the one in force, which must be that of the newest record. A
-// revision that is not kept returns *ForgottenRevisionError.
+// At returns the encoded inventory of a revision. The argument inForce is the encoded inventory of the newest record.
+// At returns *ForgottenRevisionError if the revision is not retained.
 func (h *History) At(revision int64, inForce []byte) ([]byte, error) {
-	whole := inForce
+	content := inForce
 	for i := len(h.records) - 1; i >= 0; i-- {
 		r := h.records[i]
 		if r.Revision == revision {
-			return whole, nil
+			return content, nil
 		}
 		var err error
-		if whole, err = r.Undo.Apply(whole); err != nil {
+		if content, err = r.Undo.Apply(content); err != nil {
 			return nil, err
 		}
 	}
 	return nil, &ForgottenRevisionError{Revision: revision, Oldest: h.oldest()}
 }
 
-// oldest returns the oldest revision whose inventory is kept, or zero.
+// oldest returns the oldest revision whose inventory is retained, or zero.
 func (h *History) oldest() int64 {
 	if len(h.records) == 0 {
 		return 0
--- a/configuration/history_test.go
+++ b/configuration/history_test.go
@@ -10,17 +10,17 @@
 	"arbutusreel/distribution"
 )
 
-// TestHistoryFindsEveryKeptRevision compares a history with a list of all inventories.
-func TestHistoryFindsEveryKeptRevision(t *testing.T) {
+// TestHistoryReturnsRetainedRevisions compares the inventories that a history returns with a list of all inventories.
+func TestHistoryReturnsRetainedRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &History{}
 		all := [][]byte{{}}
 		count := rapid.IntRange(1, 2*maxRecords).Draw(t, "changes")
 		size := rapid.IntRange(1, 4<<10).Draw(t, "bytes")
 		for revision := int64(1); revision <= int64(count); revision++ {
-			whole := bytes.Repeat([]byte{byte(revision)}, 1+int(revision)*size%(4<<10))
-			h.Add(Record{Revision: revision, Undo: distribution.NewDelta(revision-1, whole, all[revision-1])})
-			all = append(all, whole)
+			content := bytes.Repeat([]byte{byte(revision)}, 1+int(revision)*size%(4<<10))
+			h.Add(Record{Revision: revision, Undo: distribution.NewDelta(revision-1, content, all[revision-1])})
+			all = append(all, content)
 			if revision%97 == 0 {
 				h = RestoreHistory(h.Records())
 			}
@@ -32,9 +32,9 @@
 		}
 		drawn := rapid.Int64Range(0, int64(count)).Draw(t, "revision")
 		for _, revision := range []int64{0, oldest - 1, oldest, drawn, int64(count)} {
-			whole, err := h.At(revision, inForce)
-			var forgotten *ForgottenRevisionError
-			if kept := revision >= oldest; kept != (err == nil) || !kept && !errors.As(err, &forgotten) || kept && !bytes.Equal(whole, all[revision]) {
+			content, err := h.At(revision, inForce)
+			var evicted *ForgottenRevisionError
+			if kept := revision >= oldest; kept != (err == nil) || !kept && !errors.As(err, &evicted) || kept && !bytes.Equal(content, all[revision]) {
 				t.Fatalf("revision %d of %d, oldest %d: %v", revision, count, oldest, err)
 			}
 		}
--- a/configuration/orders.go
+++ b/configuration/orders.go
@@ -4,34 +4,35 @@
 	"slices"
 )
 
-// Document is the operators' routing configuration, kept byte for byte under its version.
+// Document is the operators' routing configuration: its version and its unmodified content.
 type Document struct {
 	Version int64
 	Content []byte
 }
 
-// Orders is the replicated state of the operators' orders that need no expected revision: the newest document and the
-// evacuated failure domains. It is immutable.
+// Orders is the replicated state of the operators' orders that are applied without an expected revision: the newest
+// document and the evacuated failure domains. It is immutable.
 type Orders struct {
 	document  Document
 	evacuated []string
 }
 
-// RestoreOrders returns the state with a document and the evacuated failure domains.
+// RestoreOrders returns the orders with a document and the evacuated failure domains, which may be unsorted and
+// repeated.
 func RestoreOrders(d Document, evacuated []string) Orders {
 	sorted := slices.Clone(evacuated)
 	slices.Sort(sorted)
 	return Orders{document: d, evacuated: slices.Compact(sorted)}
 }
 
-// Document returns the document with the highest version; the version is zero if there was none.
+// Document returns the document with the highest version so far; its version is zero if there was none.
 func (o Orders) Document() Document { return o.document }
 
-// Evacuated returns the evacuated failure domains in the order of their names.
+// Evacuated returns the evacuated failure domains, sorted by name.
 func (o Orders) Evacuated() []string { return slices.Clone(o.evacuated) }
 
-// WithDocument returns the orders with the document in force; one whose version is not higher changes nothing, whatever
-// its content.
+// WithDocument returns the orders with d in force. A document whose version is not higher than the current one is
+// ignored, whatever its content.
 func (o Orders) WithDocument(d Document) Orders {
 	if d.Version <= o.document.Version {
 		return o
--- a/configuration/orders_test.go
+++ b/configuration/orders_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDocumentsByVersion applies documents in any order, resent and with equal versions.
+// TestDocumentsByVersion applies documents in random order, with repeated versions and differing contents; the first
+// document of the highest version must be in force.
 func TestDocumentsByVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Orders
--- a/configuration/restore_test.go
+++ b/configuration/restore_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRestoredStateDecidesAlike compares a state with its copy from a snapshot under the same changes.
-func TestRestoredStateDecidesAlike(t *testing.T) {
+// TestRestoredStateGivesSameAnswers applies the same changes to a state and to a copy restored from snapshots of it,
+// and compares their answers.
+func TestRestoredStateGivesSameAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		copied := NewState()
@@ -34,8 +35,8 @@
 		s.Apply(Change{ID: strconv.Itoa(i), Expected: s.Revision()})
 	}
 	answers := s.Answers()
-	if len(answers) != maxAnswers || len(s.answers) != maxAnswers || len(s.order) > 2*maxAnswers+1 {
-		t.Errorf("%d answers, %d by id, %d in order", len(answers), len(s.answers), len(s.order))
+	if len(answers) != maxAnswers || len(s.answers) != maxAnswers || len(s.answerOrder) > 2*maxAnswers+1 {
+		t.Errorf("%d answers, %d by id, %d in order", len(answers), len(s.answers), len(s.answerOrder))
 	}
 	if last := answers[len(answers)-1]; last.ID != strconv.Itoa(3*maxAnswers-1) {
 		t.Errorf("the newest answer is that of %s", last.ID)
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -7,15 +7,16 @@
 	"arbutusreel/inventory"
 )
 
-// maxAnswers is the number of change ids whose answers are kept.
+// maxAnswers is the number of change IDs whose answers are kept.
 const maxAnswers = 50_000
 
-// Change replaces the inventory if Expected is the revision in force.
+// Change is a request to replace the inventory if Expected is the revision in force.
 type Change struct {
 	ID        string
 	Expected  int64
 	Inventory *inventory.Inventory
-	// Operator is who made the change, as told by themselves; At is the leader's time. They play no part in the decision.
+	// Operator is the self-reported name of the operator who made the change; At is the time on the leader's clock.
+	// Neither affects whether the change is accepted.
 	Operator string
 	At       time.Time
 }
@@ -26,20 +27,20 @@
 	Revision int64
 }
 
-// KnownAnswer is the answer that was given to a change id.
+// KnownAnswer is the answer that was given to a change ID.
 type KnownAnswer struct {
 	ID     string
 	Answer Answer
 }
 
-// State is the inventory in force with its revision and the answers given.
+// State is the inventory in force, its revision, and the newest answers.
 type State struct {
 	revision  int64
 	inventory *inventory.Inventory
 	answers   map[string]Answer
-	// order holds the change ids, of which the first ones are forgotten.
-	order     []string
-	forgotten int
+	// answerOrder holds the change IDs, oldest first; the answers to the first evicted IDs are no longer kept.
+	answerOrder []string
+	evicted     int
 }
 
 // NewState returns the state before the first change: revision zero and no inventory.
@@ -47,39 +48,39 @@
 	return &State{answers: map[string]Answer{}}
 }
 
-// RestoreState returns the state with a revision, its inventory, and the answers in the order in which they were given.
+// RestoreState returns the state with a revision, its inventory, and the answers, oldest first.
 func RestoreState(revision int64, inv *inventory.Inventory, answers []KnownAnswer) *State {
 	s := NewState()
 	s.revision = revision
 	s.inventory = inv
 	for _, known := range answers {
-		s.remember(known.ID, known.Answer)
+		s.recordAnswer(known.ID, known.Answer)
 	}
 	return s
 }
 
-// Answers returns the answers that are kept, the oldest first.
+// Answers returns the answers that are kept, oldest first.
 func (s *State) Answers() []KnownAnswer {
-	answers := make([]KnownAnswer, 0, len(s.order)-s.forgotten)
-	for _, id := range s.order[s.forgotten:] {
+	answers := make([]KnownAnswer, 0, len(s.answerOrder)-s.evicted)
+	for _, id := range s.answerOrder[s.evicted:] {
 		answers = append(answers, KnownAnswer{ID: id, Answer: s.answers[id]})
 	}
 	return answers
 }
 
-// Revision returns the revision in force; zero if no inventory was accepted yet.
+// Revision returns the revision in force, or zero if no inventory has been accepted yet.
 func (s *State) Revision() int64 { return s.revision }
 
 // Inventory returns the inventory in force, or nil at revision zero.
 func (s *State) Inventory() *inventory.Inventory { return s.inventory }
 
-// Answer returns the answer to a change id if it is kept.
+// Answer returns the answer to a change ID, and whether it is kept.
 func (s *State) Answer(id string) (Answer, bool) {
 	answer, ok := s.answers[id]
 	return answer, ok
 }
 
-// Apply decides a change and returns its answer; a change id seen before returns its first answer.
+// Apply accepts or rejects a change and returns its answer; a change ID whose answer is kept returns that answer.
 func (s *State) Apply(c Change) Answer {
 	if answer, ok := s.answers[c.ID]; ok {
 		return answer
@@ -87,22 +88,22 @@
 	if c.Expected == s.revision {
 		s.revision++
 		s.inventory = c.Inventory
-		return s.remember(c.ID, Answer{Accepted: true, Revision: s.revision})
+		return s.recordAnswer(c.ID, Answer{Accepted: true, Revision: s.revision})
 	}
-	return s.remember(c.ID, Answer{Revision: s.revision})
+	return s.recordAnswer(c.ID, Answer{Revision: s.revision})
 }
 
-// remember keeps an answer and forgets the oldest beyond maxAnswers.
-func (s *State) remember(id string, answer Answer) Answer {
+// recordAnswer stores an answer and evicts the oldest one beyond maxAnswers.
+func (s *State) recordAnswer(id string, answer Answer) Answer {
 	s.answers[id] = answer
-	s.order = append(s.order, id)
-	if len(s.order)-s.forgotten > maxAnswers {
-		delete(s.answers, s.order[s.forgotten])
-		s.forgotten++
+	s.answerOrder = append(s.answerOrder, id)
+	if len(s.answerOrder)-s.evicted > maxAnswers {
+		delete(s.answers, s.answerOrder[s.evicted])
+		s.evicted++
 	}
-	if s.forgotten > maxAnswers {
-		s.order = slices.Clone(s.order[s.forgotten:])
-		s.forgotten = 0
+	if s.evicted > maxAnswers {
+		s.answerOrder = slices.Clone(s.answerOrder[s.evicted:])
+		s.evicted = 0
 	}
 	return answer
 }
--- a/consensus/check.go
+++ b/consensus/check.go
@@ -1,16 +1,16 @@
 package consensus
 
-// maxNumber bounds terms, indices and rounds, so that none overflows.
+// maxNumber bounds terms, indices, rounds and times, so that arithmetic on them cannot overflow.
 const maxNumber = 1 << 60
 
-// Check returns *MalformedError if no voter sends such a message.
+// Check returns *MalformedError if the message cannot come from a correct voter.
 func (m Message) Check() error {
 	switch {
 	case m.Kind < FoundRequest || m.Kind > TimeoutNow:
 		return &MalformedError{What: "kind of the message"}
 	case m.From.Name == "":
 		return &MalformedError{What: "sender of the message"}
-	case !numbers(m.Term, m.Index, m.LogTerm, m.Commit, m.Match, m.Round, int64(m.SentAt)):
+	case !allInRange(m.Term, m.Index, m.LogTerm, m.Commit, m.Match, m.Round, int64(m.SentAt)):
 		return &MalformedError{What: "number in the message"}
 	case m.Kind == InstallRequest && m.Snapshot == nil:
 		return &MalformedError{What: "snapshot of the message"}
@@ -23,9 +23,9 @@
 	return checkEntries(m.Entries, m.Index, m.LogTerm, m.Term)
 }
 
-// Check returns *MalformedError if no voter has written such a state.
+// Check returns *MalformedError if the state cannot have been written by a correct voter.
 func (r Restored) Check() error {
-	if !numbers(r.HardState.Term, r.Commit) {
+	if !allInRange(r.HardState.Term, r.Commit) {
 		return &MalformedError{What: "term of the voter"}
 	}
 	if r.Snapshot == nil {
@@ -37,15 +37,15 @@
 	return checkEntries(r.Entries, r.Snapshot.Index, r.Snapshot.Term, r.HardState.Term)
 }
 
-// check refuses a snapshot without an index or voters, or of a term above the highest.
+// check rejects a snapshot without an index or voters, or with a term above highest.
 func (s *Snapshot) check(highest int64) error {
-	if !numbers(s.Index, s.Term) || s.Index == 0 || s.Term > highest {
+	if !allInRange(s.Index, s.Term) || s.Index == 0 || s.Term > highest {
 		return &MalformedError{What: "place of the snapshot"}
 	}
 	return s.Members.check()
 }
 
-// checkEntries refuses entries that do not follow each other after an index and term, or whose term is above the highest.
+// checkEntries rejects entries that are not consecutive after the given index and term, or whose term is above highest.
 func checkEntries(entries []Entry, index, term, highest int64) error {
 	for _, e := range entries {
 		if e.Index != index+1 || e.Term < term || e.Term > highest {
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// check refuses members without a voter, without a name, or twice of one name.
+// check rejects a set without a voter, with an empty name, or with a duplicate name.
 func (m Members) check() error {
 	names := map[string]bool{"": true}
-	for _, one := range m {
-		if names[one.ID.Name] {
+	for _, member := range m {
+		if names[member.ID.Name] {
 			return &MalformedError{What: "names of the members"}
 		}
-		names[one.ID.Name] = true
+		names[member.ID.Name] = true
 	}
 	if len(m.Voters()) == 0 {
 		return &MalformedError{What: "voters of the members"}
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// numbers reports whether all lie between zero and maxNumber.
-func numbers(all ...int64) bool {
+// allInRange reports whether all values lie in [0, maxNumber].
+func allInRange(all ...int64) bool {
 	for _, n := range all {
 		if n < 0 || n > maxNumber {
 			return false
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -15,18 +15,18 @@
 	snapshotEvery = 15
 )
 
-// failer is the part of *rapid.T and *testing.T that the cluster needs.
-type failer interface {
+// testingT is the part of *rapid.T and *testing.T that the cluster uses.
+type testingT interface {
 	Fatalf(format string, args ...any)
 }
 
-// waiting is an operation whose entry is not applied yet.
-type waiting struct {
+// pendingOp is an operation whose entry is not applied yet.
+type pendingOp struct {
 	term int64
 	op   *op
 }
 
-// server is one instance with its disk, its clock and its place in the network.
+// server is one instance with its disk, its clock and its network state.
 type server struct {
 	name     string
 	id       ID
@@ -36,13 +36,13 @@
 	stored   Restored
 	state    register
 	applied  int64
-	frozen   bool
+	paused   bool
 	isolated bool
-	// crashing makes the server crash within its next batch that must be persisted.
-	crashing bool
-	inbox    []Message
-	waiting  map[int64]waiting
-	reads    map[int64]*op
+	// crashOnPersist makes the server crash before or after it next persists its state.
+	crashOnPersist bool
+	inbox          []Message
+	pending        map[int64]pendingOp
+	reads          map[int64]*op
 }
 
 type delivery struct {
@@ -50,9 +50,9 @@
 	m  Message
 }
 
-// cluster runs servers in memory with one source of randomness.
+// cluster simulates servers in memory with one seeded random source.
 type cluster struct {
-	t        failer
+	t        testingT
 	rnd      *rand.Rand
 	now      time.Duration
 	epoch    time.Time
@@ -61,19 +61,19 @@
 	network  []delivery
 	loss     float64
 	election time.Duration
-	// cuts are the links that carry nothing, as two names in their order.
-	cuts    map[string]bool
-	leaders map[int64]ID
-	history map[int64]Entry
-	states  map[int64]int64
-	ops     []*op
-	tokens  int64
-	wiped   int
+	// cutLinks holds the links that drop every message, keyed by the names of sender and receiver.
+	cutLinks map[string]bool
+	leaders  map[int64]ID
+	history  map[int64]Entry
+	states   map[int64]int64
+	ops      []*op
+	tokens   int64
+	wiped    int
 }
 
-func newCluster(t failer, count int, seed uint64, rates []float64) *cluster {
+func newCluster(t testingT, count int, seed uint64, rates []float64) *cluster {
 	c := &cluster{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), epoch: time.Unix(1_000_000, 0), loss: 0.05, election: testElection, cuts: map[string]bool{},
+		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), epoch: time.Unix(1_000_000, 0), loss: 0.05, election: testElection, cutLinks: map[string]bool{},
 		leaders: map[int64]ID{}, history: map[int64]Entry{}, states: map[int64]int64{},
 	}
 	for i := range count {
@@ -89,7 +89,7 @@
 	return c
 }
 
-// clock returns the server's own time.
+// clock returns the time of the server's clock, which runs at its own rate.
 func (c *cluster) clock(s *server) time.Time {
 	return c.epoch.Add(time.Duration(float64(c.now) * s.rate))
 }
@@ -104,9 +104,9 @@
 		s.restore(s.stored.Snapshot)
 	}
 	if err := s.stored.Check(); err != nil {
-		c.t.Fatalf("%s wrote what it refuses: %v", s.id, err)
+		c.t.Fatalf("%s persisted a state that Check rejects: %v", s.id, err)
 	}
-	s.waiting, s.reads = map[int64]waiting{}, map[int64]*op{}
+	s.pending, s.reads = map[int64]pendingOp{}, map[int64]*op{}
 	s.node = New(cfg, s.stored, c.clock(s), c.rnd)
 }
 
@@ -119,10 +119,10 @@
 }
 
 func (c *cluster) crash(s *server) {
-	s.node, s.frozen, s.crashing, s.inbox = nil, false, false, nil
+	s.node, s.paused, s.crashOnPersist, s.inbox = nil, false, false, nil
 }
 
-// wipe replaces the disk by an empty one.
+// wipe crashes the server and replaces its disk with an empty one.
 func (c *cluster) wipe(s *server) {
 	c.crash(s)
 	s.disks++
@@ -130,15 +130,15 @@
 	s.stored = Restored{}
 }
 
-// run advances time in steps of a millisecond.
+// run advances the simulated time by d in steps of one millisecond.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.now += time.Millisecond
 		c.deliver()
 		for _, s := range c.servers {
-			if s.node != nil && !s.frozen && c.rnd.IntN(4) == 0 {
+			if s.node != nil && !s.paused && c.rnd.IntN(4) == 0 {
 				s.node.Tick(c.clock(s))
-				c.carryOut(s)
+				c.processActions(s)
 			}
 		}
 		c.checkLeaders()
@@ -158,7 +158,7 @@
 		if s.node == nil || s.isolated {
 			continue
 		}
-		if s.frozen {
+		if s.paused {
 			s.inbox = append(s.inbox, d.m)
 			continue
 		}
@@ -172,24 +172,24 @@
 		return
 	}
 	if err := m.Check(); err != nil {
-		c.t.Fatalf("%s refuses %+v: %v", s.id, m, err)
+		c.t.Fatalf("%s rejects message %+v: %v", s.id, m, err)
 	}
 	s.node.Receive(c.clock(s), m)
-	c.carryOut(s)
+	c.processActions(s)
 }
 
-// cut cuts the link between two servers.
-func (c *cluster) cut(a, b *server) {
-	c.cuts[a.name+b.name], c.cuts[b.name+a.name] = true, true
+// cutLink cuts the link between two servers in both directions.
+func (c *cluster) cutLink(a, b *server) {
+	c.cutLinks[a.name+b.name], c.cutLinks[b.name+a.name] = true, true
 }
 
 func (c *cluster) find(name string) *server {
 	return c.servers[slices.IndexFunc(c.servers, func(s *server) bool { return s.name == name })]
 }
 
-// send puts a message on the network, which loses, doubles, delays and reorders.
+// send passes a message to the network, which drops, duplicates, delays and reorders messages.
 func (c *cluster) send(s *server, m Message) {
-	if s.isolated || c.cuts[s.name+m.ToAddress] || c.rnd.Float64() < c.loss {
+	if s.isolated || c.cutLinks[s.name+m.ToAddress] || c.rnd.Float64() < c.loss {
 		return
 	}
 	for range 1 + c.rnd.IntN(20)/19 {
@@ -201,15 +201,15 @@
 	}
 }
 
-// carryOut does what the node asks for, and may crash before or after the sync.
-func (c *cluster) carryOut(s *server) {
+// processActions performs the node's Actions; a server with crashOnPersist set crashes before or after the sync.
+func (c *cluster) processActions(s *server) {
 	a := s.node.Actions()
-	if s.crashing && a.Persists() && c.rnd.IntN(2) == 0 {
+	if s.crashOnPersist && a.Persists() && c.rnd.IntN(2) == 0 {
 		c.crash(s)
 		return
 	}
 	s.persist(a)
-	if s.crashing && a.Persists() {
+	if s.crashOnPersist && a.Persists() {
 		c.crash(s)
 		return
 	}
@@ -265,15 +265,15 @@
 		_, answer = s.state.apply(e.Data)
 	}
 	c.checkState(s)
-	if w, ok := s.waiting[e.Index]; ok {
-		delete(s.waiting, e.Index)
+	if w, ok := s.pending[e.Index]; ok {
+		delete(s.pending, e.Index)
 		if w.term == e.Term {
 			c.answer(w.op, answer)
 		}
 	}
 }
 
-// checkState compares the state with that of the others at the same index.
+// checkState checks that all servers have the same revision at the same index.
 func (c *cluster) checkState(s *server) {
 	if known, ok := c.states[s.applied]; ok && known != s.state.Revision {
 		c.t.Fatalf("%s has revision %d at index %d, others %d", s.id, s.state.Revision, s.applied, known)
@@ -297,9 +297,9 @@
 	delete(s.reads, r.Token)
 }
 
-// call sends an operation to a server, which may refuse it.
-func (c *cluster) call(s *server, o *op) {
-	if s.node == nil || s.frozen {
+// callServer sends an operation to a server, which may reject it.
+func (c *cluster) callServer(s *server, o *op) {
+	if s.node == nil || s.paused {
 		return
 	}
 	if o.read {
@@ -308,7 +308,7 @@
 		if s.node.Read(c.clock(s), c.tokens) != nil {
 			delete(s.reads, c.tokens)
 		}
-		c.carryOut(s)
+		c.processActions(s)
 		return
 	}
 	data, err := json.Marshal(o)
@@ -316,34 +316,34 @@
 		panic(err)
 	}
 	if index, term, err := s.node.Propose(c.clock(s), data); err == nil {
-		s.waiting[index] = waiting{term: term, op: o}
+		s.pending[index] = pendingOp{term: term, op: o}
 	}
-	c.carryOut(s)
+	c.processActions(s)
 }
 
-// client sends a new operation, or resends one whose answer has not come, to any server.
-func (c *cluster) client() {
+// callAsClient sends a new operation, or resends an unanswered one, to a random server.
+func (c *cluster) callAsClient() {
 	s := c.servers[c.rnd.IntN(len(c.servers))]
 	if n := len(c.ops); n > 0 && c.rnd.IntN(4) == 0 {
 		if o := c.ops[c.rnd.IntN(n)]; !o.read && !o.answered {
-			c.call(s, o)
+			c.callServer(s, o)
 			return
 		}
 	}
 	o := &op{ID: len(c.ops) + 1, read: c.rnd.IntN(2) == 0, invoked: c.now, Expected: s.state.Revision}
 	c.ops = append(c.ops, o)
-	c.call(s, o)
+	c.callServer(s, o)
 }
 
-// thaw lets a frozen server go on; what reached it while frozen comes after a client's read.
-func (c *cluster) thaw(s *server) {
-	if !s.frozen {
+// resume lets a paused server continue. It handles a client's read first and then the messages received while paused.
+func (c *cluster) resume(s *server) {
+	if !s.paused {
 		return
 	}
-	s.frozen = false
+	s.paused = false
 	o := &op{ID: len(c.ops) + 1, read: true, invoked: c.now}
 	c.ops = append(c.ops, o)
-	c.call(s, o)
+	c.callServer(s, o)
 	c.checkLeaders()
 	inbox := s.inbox
 	s.inbox = nil
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -10,80 +10,80 @@
 	"pgregory.net/rapid"
 )
 
-var steady = []float64{1}
+var equalRates = []float64{1}
 
-// drifting are clock rates that differ by less than the drift margin.
-var drifting = []float64{0.955, 1.045, 1, 1.045, 0.955}
+// driftingRates are clock rates that differ by less than the drift margin.
+var driftingRates = []float64{0.955, 1.045, 1, 1.045, 0.955}
 
-// TestFaults drives a cluster through faults drawn at random and checks every invariant all the time.
+// TestFaults runs a cluster under random faults and checks the invariants at every step.
 func TestFaults(t *testing.T) {
 	for _, count := range []int{3, 4, 5} {
 		t.Run(fmt.Sprint(count, " voters"), func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { driveFaults(t, count) })
+			rapid.Check(t, func(t *rapid.T) { runFaults(t, count) })
 		})
 	}
 }
 
-// driveFaults draws the faults of one run, and checks at its end that nothing accepted was lost.
-func driveFaults(t *rapid.T, count int) {
-	c := newCluster(t, count, rapid.Uint64().Draw(t, "seed"), drifting)
+// runFaults draws the faults of one run, and checks at the end that no accepted change was lost.
+func runFaults(t *rapid.T, count int) {
+	c := newCluster(t, count, rapid.Uint64().Draw(t, "seed"), driftingRates)
 	c.loss = rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "loss")
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		s := c.servers[rapid.IntRange(0, count-1).Draw(t, "server")]
-		c.fault(s, rapid.IntRange(0, 9).Draw(t, "fault"))
+		c.injectFault(s, rapid.IntRange(0, 9).Draw(t, "fault"))
 		c.run(time.Duration(rapid.SampledFrom([]int{0, 0, 20, 90, 250}).Draw(t, "quiet")) * time.Millisecond)
 		for range rapid.IntRange(0, 20).Draw(t, "calls") {
-			c.client()
+			c.callAsClient()
 			c.run(time.Duration(c.rnd.IntN(12)) * time.Millisecond)
 		}
-		c.repair()
+		c.repairMembers()
 	}
-	c.settle()
+	c.healAndCheck()
 }
 
-// fault brings about one fault or its end.
-func (c *cluster) fault(s *server, kind int) {
+// injectFault starts or ends one fault.
+func (c *cluster) injectFault(s *server, kind int) {
 	switch kind {
 	case 0:
 		c.crash(s)
 	case 1:
 		c.start(s)
 	case 2:
-		s.frozen = s.node != nil
+		s.paused = s.node != nil
 	case 3:
-		c.thaw(s)
+		c.resume(s)
 	case 4:
 		s.isolated = true
 	case 5:
 		s.isolated = false
 	case 6:
-		s.crashing = true
+		s.crashOnPersist = true
 	case 7:
-		if c.whole() {
+		if c.allDisksVote() {
 			c.wiped++
 			c.wipe(s)
 			c.start(s)
 		}
 	case 8:
 		if other := c.servers[c.rnd.IntN(len(c.servers))]; other != s {
-			c.cut(s, other)
+			c.cutLink(s, other)
 		}
 	default:
-		clear(c.cuts)
+		clear(c.cutLinks)
 		for _, one := range c.servers {
 			one.isolated = false
-			c.thaw(one)
+			c.resume(one)
 			c.start(one)
 		}
 	}
 }
 
-// led runs until a leader holds a lease, and returns it.
-func (c *cluster) led() *server {
+// waitForLeader runs the cluster until a leader holds a lease, and returns it.
+func (c *cluster) waitForLeader() *server {
 	for range 5000 {
 		c.run(time.Millisecond)
 		for _, s := range c.servers {
-			if s.node == nil || s.frozen || s.isolated {
+			if s.node == nil || s.paused || s.isolated {
 				continue
 			}
 			if _, _, ok := s.node.Lease(c.clock(s)); ok {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// others returns the servers but one.
+// others returns all servers except one.
 func (c *cluster) others(but *server) []*server {
 	var others []*server
 	for _, s := range c.servers {
@@ -106,18 +106,18 @@
 	return others
 }
 
-// accept has a leader accept a change.
-func (c *cluster) accept(s *server) bool {
+// acceptsChange sends a change to the leader and reports whether it was accepted within 200 ms.
+func (c *cluster) acceptsChange(s *server) bool {
 	o := &op{ID: len(c.ops) + 1, Expected: s.state.Revision, invoked: c.now}
 	c.ops = append(c.ops, o)
-	c.call(s, o)
+	c.callServer(s, o)
 	c.run(200 * time.Millisecond)
 	return o.answered && o.answer.Accepted
 }
 
 func TestReturnedVoterKeepsLeader(t *testing.T) {
-	c := newCluster(t, 3, 1, steady)
-	leader := c.led()
+	c := newCluster(t, 3, 1, equalRates)
+	leader := c.waitForLeader()
 	term := leader.node.Status(c.clock(leader)).Term
 	away := c.others(leader)[0]
 	away.isolated = true
@@ -129,29 +129,30 @@
 	}
 }
 
-func TestFrozenLeaderServesNothing(t *testing.T) {
-	c := newCluster(t, 3, 2, steady)
-	old := c.led()
-	old.frozen = true
+func TestPausedLeaderServesNothing(t *testing.T) {
+	c := newCluster(t, 3, 2, equalRates)
+	old := c.waitForLeader()
+	old.paused = true
 	c.run(time.Second)
-	next := c.led()
-	if !c.accept(next) {
-		t.Fatal("the next leader accepted nothing")
+	next := c.waitForLeader()
+	if !c.acceptsChange(next) {
+		t.Fatal("the next leader did not accept a change")
 	}
-	old.frozen = false
+	old.paused = false
 	if term, _, ok := old.node.Lease(c.clock(old)); ok {
-		t.Errorf("the woken leader holds a lease of term %d", term)
+		t.Errorf("the resumed leader holds a lease of term %d", term)
 	}
 	o := &op{ID: 99, Expected: old.state.Revision}
-	c.call(old, o)
+	c.callServer(old, o)
 	c.run(time.Second)
 	if o.answered {
-		t.Errorf("the woken leader answered %+v", o.answer)
+		t.Errorf("the resumed leader answered %+v", o.answer)
 	}
 }
 
-// TestLeaseIsExclusive brings an election about while a leader, cut off from
-// one voter, still holds its lease; checkLeaders looks at every step.
+// TestLeaseIsExclusive provokes an election while the old leader, first cut off
+// from one voter and then isolated, may still hold its lease. checkLeaders
+// fails the test at any step in which two servers hold a lease.
 func TestLeaseIsExclusive(t *testing.T) {
 	for seed := range uint64(300) {
 		c := newCluster(t, 3, seed, []float64{0.955, 1.045, 1.045})
@@ -160,13 +161,13 @@
 			c.wipe(s)
 			c.start(s)
 		}
-		leader := c.led()
+		leader := c.waitForLeader()
 		helper, rival := c.others(leader)[0], c.others(leader)[1]
 		c.run(200 * time.Millisecond)
-		c.cut(leader, rival)
+		c.cutLink(leader, rival)
 		c.run(time.Second + time.Duration(seed)*3*time.Millisecond)
 		if !leader.node.Status(c.clock(leader)).Leads {
-			t.Fatalf("seed %d: a voter that cannot hear the leader was elected", seed)
+			t.Fatalf("seed %d: a voter that does not receive the leader's messages was elected", seed)
 		}
 		if seed%4 == 0 {
 			c.crash(helper)
@@ -187,8 +188,9 @@
 	}
 }
 
-// TestLateInstallKeepsEntries sends a follower a snapshot that is older than
-// entries which it has acknowledged, and which therefore may be committed.
+// TestLateInstallKeepsEntries sends a follower a delayed snapshot that is older
+// than entries which it has acknowledged. The entries must be kept, since the
+// leader may have committed them.
 func TestLateInstallKeepsEntries(t *testing.T) {
 	self := ID{Name: "a"}
 	n := New(Config{Self: self, ElectionTimeout: testElection}, Restored{HardState: HardState{Term: 1}}, time.Unix(0, 0), rand.New(rand.NewPCG(1, 1)))
@@ -206,7 +208,8 @@
 }
 
 // TestEntryOfOldTermIsNotCommitted has a leader replicate an entry of an
-// earlier term to a majority; it counts only with an entry of the leader's own.
+// earlier term to a majority. The entry must be committed only together with an
+// entry of the leader's own term.
 func TestEntryOfOldTermIsNotCommitted(t *testing.T) {
 	ids := []ID{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	var members Members
@@ -242,12 +245,12 @@
 }
 
 func TestEmptyDiskDoesNotVote(t *testing.T) {
-	c := newCluster(t, 3, 3, steady)
-	leader := c.led()
+	c := newCluster(t, 3, 3, equalRates)
+	leader := c.waitForLeader()
 	away, lost := c.others(leader)[0], c.others(leader)[1]
 	away.isolated = true
-	if !c.accept(leader) {
-		t.Fatal("the leader accepted nothing")
+	if !c.acceptsChange(leader) {
+		t.Fatal("the leader did not accept a change")
 	}
 	c.crash(leader)
 	c.wipe(lost)
@@ -255,25 +258,25 @@
 	away.isolated = false
 	c.run(3 * time.Second)
 	if away.node.Status(c.clock(away)).Leads {
-		t.Error("a voter that lacks an accepted change was elected by an empty disk")
+		t.Error("a voter that lacks an accepted change was elected with the vote of a wiped disk")
 	}
 	c.start(leader)
-	c.settle()
+	c.healAndCheck()
 }
 
-func TestEmptyDisksDoNotFoundAgain(t *testing.T) {
-	c := newCluster(t, 3, 4, steady)
-	if !c.accept(c.led()) {
-		t.Fatal("the leader accepted nothing")
+func TestEmptyDisksDoNotBootstrapAgain(t *testing.T) {
+	c := newCluster(t, 3, 4, equalRates)
+	if !c.acceptsChange(c.waitForLeader()) {
+		t.Fatal("the leader did not accept a change")
 	}
-	keeper := c.servers[2]
-	keeper.isolated = true
+	survivor := c.servers[2]
+	survivor.isolated = true
 	for _, s := range c.servers[:2] {
 		c.wipe(s)
 		c.start(s)
 	}
 	c.run(3 * time.Second)
-	keeper.isolated = false
+	survivor.isolated = false
 	c.run(3 * time.Second)
 	for _, s := range c.servers {
 		if s.node.Status(c.clock(s)).Leads {
@@ -285,10 +288,10 @@
 func TestSecondLossAfterRepair(t *testing.T) {
 	for _, entries := range []int{1, 10, 300} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			c := newCluster(t, 3, 5, steady)
-			leader := c.led()
+			c := newCluster(t, 3, 5, equalRates)
+			leader := c.waitForLeader()
 			for range entries {
-				if !c.accept(leader) {
+				if !c.acceptsChange(leader) {
 					t.Fatal("a change was not accepted")
 				}
 			}
@@ -296,38 +299,38 @@
 			for _, s := range []*server{first, second} {
 				c.wipe(s)
 				c.start(s)
-				for tries := 0; !c.whole() && tries < 500; tries++ {
+				for tries := 0; !c.allDisksVote() && tries < 500; tries++ {
 					c.run(10 * time.Millisecond)
-					c.repair()
+					c.repairMembers()
 				}
 			}
-			if !c.whole() {
+			if !c.allDisksVote() {
 				t.Fatal("the members were not repaired")
 			}
-			if !c.accept(c.led()) {
+			if !c.acceptsChange(c.waitForLeader()) {
 				t.Error("no change is accepted after the second loss")
 			}
-			c.settle()
+			c.healAndCheck()
 		})
 	}
 }
 
 func TestLearnerDoesNotCount(t *testing.T) {
-	c := newCluster(t, 3, 6, steady)
-	leader := c.led()
+	c := newCluster(t, 3, 6, equalRates)
+	leader := c.waitForLeader()
 	c.crash(c.others(leader)[0])
 	if _, _, err := leader.node.Add(c.clock(leader), ID{Name: "a2", Disk: "disk1"}, c.others(leader)[0].name); err != nil {
 		t.Fatal(err)
 	}
 	c.run(time.Second)
-	if !c.accept(leader) {
-		t.Error("a member that never answered holds up the majority")
+	if !c.acceptsChange(leader) {
+		t.Error("a learner that never answered blocks the majority")
 	}
 }
 
 func TestMemberErrors(t *testing.T) {
-	c := newCluster(t, 3, 7, steady)
-	leader := c.led()
+	c := newCluster(t, 3, 7, equalRates)
+	leader := c.waitForLeader()
 	other := c.others(leader)[0]
 	now := c.clock(leader)
 	_, _, err := leader.node.Add(now, ID{Name: other.name, Disk: "disk9"}, "x")
@@ -336,7 +339,7 @@
 	}
 	_, _, err = leader.node.Remove(now, "z")
 	if !errors.As(err, new(*UnknownMemberError)) {
-		t.Errorf("removing nobody: %v", err)
+		t.Errorf("removing an unknown member: %v", err)
 	}
 	_, _, err = other.node.Remove(c.clock(other), leader.name)
 	if !errors.As(err, new(*NotLeaderError)) {
@@ -351,30 +354,30 @@
 }
 
 func TestTransfer(t *testing.T) {
-	c := newCluster(t, 3, 8, steady)
-	old := c.led()
+	c := newCluster(t, 3, 8, equalRates)
+	old := c.waitForLeader()
 	c.run(100 * time.Millisecond)
 	if !old.node.Transfer(c.clock(old)) {
-		t.Fatal("no voter could take over")
+		t.Fatal("no voter could take over leadership")
 	}
-	c.carryOut(old)
+	c.processActions(old)
 	c.run(testElection / 2)
-	if next := c.led(); next == old {
-		t.Error("the old leader leads again")
+	if next := c.waitForLeader(); next == old {
+		t.Error("the old leader was elected again")
 	}
-	if !c.accept(c.led()) {
-		t.Error("the new leader accepted nothing")
+	if !c.acceptsChange(c.waitForLeader()) {
+		t.Error("the new leader did not accept a change")
 	}
 }
 
 func TestRestartAfterManyChanges(t *testing.T) {
-	c := newCluster(t, 3, 9, steady)
+	c := newCluster(t, 3, 9, equalRates)
 	c.loss = 0
-	leader := c.led()
+	leader := c.waitForLeader()
 	away := c.others(leader)[0]
 	c.crash(away)
 	for range 400 {
-		if !c.accept(leader) {
+		if !c.acceptsChange(leader) {
 			t.Fatal("a change was not accepted")
 		}
 	}
@@ -382,7 +385,7 @@
 		c.crash(s)
 		c.start(s)
 	}
-	c.settle()
+	c.healAndCheck()
 	if away.state.Revision != 400 {
 		t.Errorf("the restarted voter has revision %d", away.state.Revision)
 	}
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// resetElection sets the time of the next election at random in [1, 2) election timeouts.
+// resetElection sets the next election to a random time between one (inclusive) and two election timeouts from now.
 func (n *Node) resetElection(now time.Time) {
 	timeout := n.cfg.ElectionTimeout
 	n.electionAt = now.Add(timeout + time.Duration(n.rnd.Int64N(int64(timeout))))
 }
 
-// promised reports whether the node must not vote, since a leader may rely on its silence.
-func (n *Node) promised(now time.Time) bool {
-	return now.Sub(n.heard) < n.cfg.ElectionTimeout
+// withholdsVote reports whether the node must not vote, because the lease of a leader that it acknowledged may still
+// run.
+func (n *Node) withholdsVote(now time.Time) bool {
+	return now.Sub(n.lastLeaderContact) < n.cfg.ElectionTimeout
 }
 
-// follow makes the node a follower in a term that is the present one or higher.
-func (n *Node) follow(now time.Time, term int64) {
-	if term > n.hard.Term {
-		n.hard = HardState{Term: term}
+// becomeFollower makes the node a follower in term, which is the current term or higher.
+func (n *Node) becomeFollower(now time.Time, term int64) {
+	if term > n.hardState.Term {
+		n.hardState = HardState{Term: term}
 	}
 	if n.role == leader {
 		n.failReads()
@@ -27,35 +28,35 @@
 	n.progress = nil
 }
 
-// hear notes a message of the term's leader.
-func (n *Node) hear(now time.Time, m Message) {
+// observeLeader records a message from the leader of the current term.
+func (n *Node) observeLeader(now time.Time, m Message) {
 	if n.role != follower {
-		n.follow(now, m.Term)
+		n.becomeFollower(now, m.Term)
 	}
 	n.leader = m.From
-	n.heard = now
-	n.founding = nil
+	n.lastLeaderContact = now
+	n.bootstrapVotes = nil
 	n.resetElection(now)
 }
 
-// preCampaign asks whether an election could be won, without a new term.
+// preCampaign asks the voters whether this node could win an election, without starting a new term.
 func (n *Node) preCampaign(now time.Time) {
 	n.role = preCandidate
 	n.leader = ID{}
 	n.votes = map[ID]bool{n.cfg.Self: true}
-	// A refused pre-vote harms nobody, so that it is repeated sooner than an election: after a restart of all voters the
-	// promises of the last ones to start end a little later.
+	// A refused pre-vote disturbs no leader, so it is repeated sooner than an election. After a restart of all voters,
+	// those that started last withhold their votes a little longer than the others.
 	n.electionAt = now.Add(n.cfg.ElectionTimeout/2 + time.Duration(n.rnd.Int64N(int64(n.cfg.ElectionTimeout/2))))
-	if n.wonVotes() {
+	if n.hasVoteMajority() {
 		n.campaign(now, false)
 		return
 	}
-	n.sendMembers(Message{Kind: PreVoteRequest, Term: n.hard.Term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}, true)
+	n.sendMembers(Message{Kind: PreVoteRequest, Term: n.hardState.Term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}, true)
 }
 
 func (n *Node) onPreVoteRequest(now time.Time, m Message) {
-	granted := n.role != leader && !n.promised(now) && m.Term > n.hard.Term && n.upToDate(m)
-	term := n.hard.Term
+	granted := n.role != leader && !n.withholdsVote(now) && m.Term > n.hardState.Term && n.upToDate(m)
+	term := n.hardState.Term
 	if granted {
 		term = m.Term
 	}
@@ -63,33 +64,33 @@
 }
 
 func (n *Node) onPreVoteReply(now time.Time, m Message) {
-	if n.role != preCandidate || !m.Granted || m.Term != n.hard.Term+1 {
+	if n.role != preCandidate || !m.Granted || m.Term != n.hardState.Term+1 {
 		return
 	}
 	n.votes[m.From] = true
-	if n.wonVotes() {
+	if n.hasVoteMajority() {
 		n.campaign(now, false)
 	}
 }
 
-// campaign stands for election in a new term.
+// campaign starts an election in a new term; transfer marks that the leader has stepped down in this node's favour.
 func (n *Node) campaign(now time.Time, transfer bool) {
-	n.hard = HardState{Term: n.hard.Term + 1, Vote: n.cfg.Self}
+	n.hardState = HardState{Term: n.hardState.Term + 1, Vote: n.cfg.Self}
 	n.role = candidate
 	n.leader = ID{}
 	n.votes = map[ID]bool{n.cfg.Self: true}
 	n.resetElection(now)
-	if n.wonVotes() {
-		n.lead(now, Entry{Kind: TermEntry})
+	if n.hasVoteMajority() {
+		n.becomeLeader(now, Entry{Kind: TermEntry})
 		return
 	}
 	n.sendMembers(Message{Kind: VoteRequest, Index: n.log.last(), LogTerm: n.log.lastTerm(), Transfer: transfer}, true)
 }
 
 func (n *Node) onVoteRequest(now time.Time, m Message) {
-	granted := (n.hard.Vote == ID{} || n.hard.Vote == m.From) && n.upToDate(m)
+	granted := (n.hardState.Vote == ID{} || n.hardState.Vote == m.From) && n.upToDate(m)
 	if granted {
-		n.hard.Vote = m.From
+		n.hardState.Vote = m.From
 		n.resetElection(now)
 	}
 	n.reply(m, Message{Kind: VoteReply, Granted: granted})
@@ -100,12 +101,12 @@
 		return
 	}
 	n.votes[m.From] = true
-	if n.wonVotes() {
-		n.lead(now, Entry{Kind: TermEntry})
+	if n.hasVoteMajority() {
+		n.becomeLeader(now, Entry{Kind: TermEntry})
 	}
 }
 
-// upToDate reports whether the candidate's log is at least as new as this one.
+// upToDate reports whether the candidate's log is at least as up to date as this node's log.
 func (n *Node) upToDate(m Message) bool {
 	if m.LogTerm != n.log.lastTerm() {
 		return m.LogTerm > n.log.lastTerm()
@@ -113,9 +114,10 @@
 	return m.Index >= n.log.last()
 }
 
-// wonVotes reports whether a majority of the voters has voted for this node; a vote counts only with the member's disk.
-func (n *Node) wonVotes() bool {
-	voters := n.log.set().members.Voters()
+// hasVoteMajority reports whether a majority of the voters has voted for this node. A vote counts only if it comes from
+// the disk that the member was added with.
+func (n *Node) hasVoteMajority() bool {
+	voters := n.log.currentMembers().members.Voters()
 	count := 0
 	for _, id := range voters {
 		if n.votes[id] {
@@ -125,31 +127,32 @@
 	return count >= majority(len(voters))
 }
 
-// lead makes the node the leader of its term, which begins with an entry.
-func (n *Node) lead(now time.Time, first Entry) {
+// becomeLeader makes the node the leader of its term and appends the term's first entry.
+func (n *Node) becomeLeader(now time.Time, first Entry) {
 	n.role = leader
 	n.leader = n.cfg.Self
 	n.progress = map[ID]*progress{}
-	n.reads = nil
-	n.ledSince = now
+	n.pendingReads = nil
+	n.leaderSince = now
 	n.termStart = n.log.last() + 1
 	n.append(now, first)
 	n.heartbeatAt = now
 	n.tickLeader(now)
 }
 
-// Transfer steps down in favour of the voter with the newest log; it reports
-// whether there was one. The lease ends before the other voter stands.
+// Transfer steps down in favour of a responsive voter whose log is complete,
+// and reports whether there was one. The lease ends before that voter starts
+// its election.
 func (n *Node) Transfer(now time.Time) bool {
 	if n.role != leader {
 		return false
 	}
-	for _, member := range n.log.set().members {
+	for _, member := range n.log.currentMembers().members {
 		p := n.progress[member.ID]
 		if p == nil || !member.Voter || p.match < n.log.last() || now.Sub(p.ackedAt) > n.cfg.ElectionTimeout {
 			continue
 		}
-		n.follow(now, n.hard.Term)
+		n.becomeFollower(now, n.hardState.Term)
 		n.send(member.ID, member.Address, Message{Kind: TimeoutNow})
 		return true
 	}
--- a/consensus/history_test.go
+++ b/consensus/history_test.go
@@ -23,7 +23,7 @@
 	Revision int64
 }
 
-// register is the replicated state: a revision, and the answer to each operation.
+// register is the replicated state machine of the tests: a revision, and the answer to each operation.
 type register struct {
 	Revision int64
 	Answers  map[int]casAnswer
@@ -47,8 +47,9 @@
 }
 
 // linearizable checks a history of compare-and-set operations and reads by
-// their revisions: a revision is made once, and no operation that began after
-// another had returned may see a lower revision, or make the same one.
+// their revisions: each revision is created once, and an operation that was
+// invoked after another had returned must neither observe a lower revision nor
+// create the same one.
 func linearizable(ops []*op) error {
 	made := map[int64]*op{}
 	var answered []*op
@@ -61,7 +62,7 @@
 			continue
 		}
 		if other := made[o.answer.Revision]; other != nil {
-			return fmt.Errorf("operations %d and %d made revision %d", o.ID, other.ID, o.answer.Revision)
+			return fmt.Errorf("operations %d and %d both created revision %d", o.ID, other.ID, o.answer.Revision)
 		}
 		made[o.answer.Revision] = o
 	}
@@ -71,7 +72,7 @@
 				continue
 			}
 			if b.answer.Revision < a.answer.Revision || b.answer.Accepted && b.answer.Revision == a.answer.Revision {
-				return fmt.Errorf("operation %d saw revision %d after %d had returned with %d", b.ID, b.answer.Revision, a.ID, a.answer.Revision)
+				return fmt.Errorf("operation %d observed revision %d after operation %d had returned revision %d", b.ID, b.answer.Revision, a.ID, a.answer.Revision)
 			}
 		}
 	}
--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checkLeaders checks that a term has one leader and that one server at most holds a lease.
+// checkLeaders checks that each term has at most one leader and that at most one server holds a lease.
 func (c *cluster) checkLeaders() {
 	var holder ID
 	for _, s := range c.servers {
@@ -30,25 +30,26 @@
 	}
 }
 
-// whole reports whether every server's present disk is a voter by a committed set of members.
-func (c *cluster) whole() bool {
+// allDisksVote reports whether some server has committed a set of members in which every server's current disk is a
+// voter.
+func (c *cluster) allDisksVote() bool {
 	return slices.ContainsFunc(c.servers, func(s *server) bool {
 		if s.node == nil {
 			return false
 		}
-		members := s.node.log.setAt(s.node.commit)
+		members := s.node.log.membersAt(s.node.commit)
 		return !slices.ContainsFunc(c.servers, func(other *server) bool { return !members.Voter(other.id) })
 	})
 }
 
-// repair does what an operator does after a lost disk: remove the old member and add the new one.
-func (c *cluster) repair() {
+// repairMembers acts as an operator after the loss of a disk: it removes the old member and adds the new one.
+func (c *cluster) repairMembers() {
 	for _, s := range c.servers {
-		if s.node == nil || s.frozen || !s.node.Status(c.clock(s)).Leads {
+		if s.node == nil || s.paused || !s.node.Status(c.clock(s)).Leads {
 			continue
 		}
 		for _, other := range c.servers {
-			member, ok := s.node.log.set().members.Find(other.name)
+			member, ok := s.node.log.currentMembers().members.Find(other.name)
 			if ok && member.ID != other.id {
 				_, _, _ = s.node.Remove(c.clock(s), other.name)
 			}
@@ -56,33 +57,34 @@
 				_, _, _ = s.node.Add(c.clock(s), other.id, other.name)
 			}
 		}
-		c.carryOut(s)
+		c.processActions(s)
 	}
 }
 
-// settle heals everything and checks that nothing accepted was lost.
-func (c *cluster) settle() {
+// healAndCheck ends all faults and checks that the servers converge, that no accepted operation was lost, and that the
+// history is linearizable.
+func (c *cluster) healAndCheck() {
 	c.loss = 0
-	clear(c.cuts)
+	clear(c.cutLinks)
 	for _, s := range c.servers {
-		s.isolated, s.crashing = false, false
+		s.isolated, s.crashOnPersist = false, false
 		c.start(s)
-		c.thaw(s)
+		c.resume(s)
 	}
 	for range 40 {
 		c.run(50 * time.Millisecond)
-		c.repair()
+		c.repairMembers()
 	}
 	last := &op{ID: len(c.ops) + 1, Expected: -1, invoked: c.now}
 	c.ops = append(c.ops, last)
 	for range 40 {
 		for _, s := range c.servers {
-			c.call(s, last)
+			c.callServer(s, last)
 		}
 		c.run(50 * time.Millisecond)
 	}
 	if !last.answered {
-		c.t.Fatalf("the healed cluster does not answer")
+		c.t.Fatalf("the cluster does not answer after all faults have ended")
 	}
 	for _, s := range c.servers {
 		if s.state.Revision != c.servers[0].state.Revision || !maps.Equal(s.state.Answers, c.servers[0].state.Answers) {
--- a/consensus/lease.go
+++ b/consensus/lease.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// A lease is shorter than the election timeout by the drift margin, since the
-// clocks of two voters may run at rates that differ by less than it.
+// The drift margin is the fraction of the election timeout by which a lease is
+// shorter than it. The clock rates of two voters must differ by less than this
+// fraction.
 const (
 	driftMarginNumerator   = 1
 	driftMarginDenominator = 10
 )
 
-// read waits until a majority has acknowledged a round.
-type read struct {
+// pendingRead is a read that is answered once a majority has acknowledged its round.
+type pendingRead struct {
 	token int64
 	index int64
 	round int64
 }
 
-// quorumTime returns the latest time such that a majority of the voters has acknowledged a request sent at or after it.
-func (n *Node) quorumTime(now time.Time) time.Time {
+// quorumAckTime returns the latest time t such that a majority of the voters has acknowledged a request sent at t or
+// later.
+func (n *Node) quorumAckTime(now time.Time) time.Time {
 	var times []time.Time
-	for _, id := range n.log.set().members.Voters() {
+	for _, id := range n.log.currentMembers().members.Voters() {
 		if id == n.cfg.Self {
 			times = append(times, now)
 			continue
@@ -34,41 +36,44 @@
 }
 
 // Lease returns the term and the end of the leader's lease; ok is false if the
-// node does not lead, if the lease has ended, or if no entry of the term is
-// committed yet. Until the end no other voter can be elected, as a majority
-// refuses to vote for one election timeout after each request of the leader.
+// node is not the leader, if the lease has expired, or if no entry of the term
+// is committed yet. No other voter can be elected before the end, because a
+// majority withholds its votes for one election timeout after each request of
+// the leader.
 func (n *Node) Lease(now time.Time) (term int64, end time.Time, ok bool) {
 	if n.role != leader {
-		return n.hard.Term, time.Time{}, false
+		return n.hardState.Term, time.Time{}, false
 	}
 	timeout := n.cfg.ElectionTimeout
-	end = n.quorumTime(now).Add(timeout - timeout*driftMarginNumerator/driftMarginDenominator)
-	return n.hard.Term, end, now.Before(end) && n.commit >= n.termStart
+	end = n.quorumAckTime(now).Add(timeout - timeout*driftMarginNumerator/driftMarginDenominator)
+	return n.hardState.Term, end, now.Before(end) && n.commit >= n.termStart
 }
 
-// Read asks for an index that is current at some time after the call; the
-// answer comes in Actions with the token, at once under the lease, or after a
-// majority has acknowledged a later heartbeat.
+// Read requests an index that is current at some time after the call. The
+// result is returned in Actions under the token: at once while the lease is
+// valid, or else after a majority has acknowledged a later heartbeat. A node
+// that is not the leader returns *NotLeaderError; a leader that has not
+// committed an entry of its term returns *NotReadyError.
 func (n *Node) Read(now time.Time, token int64) error {
 	if n.role != leader {
 		return &NotLeaderError{Self: n.cfg.Self, Leader: n.leader}
 	}
 	if n.commit < n.termStart {
-		return &NotReadyError{Term: n.hard.Term}
+		return &NotReadyError{Term: n.hardState.Term}
 	}
 	if _, _, ok := n.Lease(now); ok {
 		n.out.Reads = append(n.out.Reads, ReadResult{Token: token, Index: n.commit, OK: true})
 		return nil
 	}
-	n.reads = append(n.reads, read{token: token, index: n.commit, round: n.round + 1})
+	n.pendingReads = append(n.pendingReads, pendingRead{token: token, index: n.commit, round: n.round + 1})
 	n.heartbeat(now)
 	return nil
 }
 
 // confirmReads answers the reads whose round a majority has acknowledged.
 func (n *Node) confirmReads() {
-	confirmed := n.quorumRound()
-	n.reads = slices.DeleteFunc(n.reads, func(r read) bool {
+	confirmed := n.quorumAckRound()
+	n.pendingReads = slices.DeleteFunc(n.pendingReads, func(r pendingRead) bool {
 		if r.round > confirmed {
 			return false
 		}
@@ -77,9 +82,9 @@
 	})
 }
 
-func (n *Node) quorumRound() int64 {
+func (n *Node) quorumAckRound() int64 {
 	var rounds []int64
-	for _, id := range n.log.set().members.Voters() {
+	for _, id := range n.log.currentMembers().members.Voters() {
 		if id == n.cfg.Self {
 			rounds = append(rounds, n.round)
 			continue
@@ -90,10 +95,10 @@
 	return rounds[len(rounds)-majority(len(rounds))]
 }
 
-// failReads answers the waiting reads of a leader that steps down.
+// failReads answers the pending reads of a leader that steps down with OK unset.
 func (n *Node) failReads() {
-	for _, r := range n.reads {
+	for _, r := range n.pendingReads {
 		n.out.Reads = append(n.out.Reads, ReadResult{Token: r.token})
 	}
-	n.reads = nil
+	n.pendingReads = nil
 }
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -1,37 +1,37 @@
 package consensus
 
-// memberSet is a set of members and the index of the entry that put it in force.
+// memberSet is a set of members and the index of the entry from which it is in force.
 type memberSet struct {
 	index   int64
 	members Members
 }
 
-// log is the part of the log after base, with the sets of members that it brought.
+// log is the part of the log after index base, with the member sets in force at base and after it.
 type log struct {
-	base     int64
-	baseTerm int64
-	entries  []Entry
-	sets     []memberSet
-	// unsaved is the lowest index not handed out to be persisted.
-	unsaved int64
+	base       int64
+	baseTerm   int64
+	entries    []Entry
+	memberSets []memberSet
+	// firstUnpersisted is the lowest index not yet returned in Actions to be persisted.
+	firstUnpersisted int64
 }
 
 func newLog(r Restored) log {
 	l := log{}
 	if s := r.Snapshot; s != nil {
 		l.base, l.baseTerm = s.Index, s.Term
-		l.sets = []memberSet{{index: s.Index, members: s.Members}}
+		l.memberSets = []memberSet{{index: s.Index, members: s.Members}}
 	}
 	for _, e := range r.Entries {
 		l.append(e)
 	}
-	l.unsaved = l.last() + 1
+	l.firstUnpersisted = l.last() + 1
 	return l
 }
 
 func (l *log) last() int64 { return l.base + int64(len(l.entries)) }
 
-// term returns the term of the entry at an index; ok is false if it is not known.
+// term returns the term of the entry at index; ok is false if the entry was compacted or does not exist.
 func (l *log) term(index int64) (term int64, ok bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -47,7 +47,7 @@
 	return term
 }
 
-// slice returns the entries from first to last, both included.
+// slice returns the entries from first to last, inclusive.
 func (l *log) slice(first, last int64) []Entry {
 	if first > last {
 		return nil
@@ -58,32 +58,32 @@
 func (l *log) append(e Entry) {
 	l.entries = append(l.entries, e)
 	if e.Kind == MembersEntry {
-		l.sets = append(l.sets, memberSet{index: e.Index, members: e.Members})
+		l.memberSets = append(l.memberSets, memberSet{index: e.Index, members: e.Members})
 	}
-	l.unsaved = min(l.unsaved, e.Index)
+	l.firstUnpersisted = min(l.firstUnpersisted, e.Index)
 }
 
-// truncate drops the entries from an index on.
+// truncate drops the entries from index on.
 func (l *log) truncate(index int64) {
 	l.entries = l.entries[: index-l.base-1 : index-l.base-1]
-	for len(l.sets) > 0 && l.sets[len(l.sets)-1].index >= index {
-		l.sets = l.sets[:len(l.sets)-1]
+	for len(l.memberSets) > 0 && l.memberSets[len(l.memberSets)-1].index >= index {
+		l.memberSets = l.memberSets[:len(l.memberSets)-1]
 	}
-	l.unsaved = min(l.unsaved, index)
+	l.firstUnpersisted = min(l.firstUnpersisted, index)
 }
 
-// set returns the members in force and the index that put them in force.
-func (l *log) set() memberSet {
-	if len(l.sets) == 0 {
+// currentMembers returns the members in force and the index from which they are in force.
+func (l *log) currentMembers() memberSet {
+	if len(l.memberSets) == 0 {
 		return memberSet{}
 	}
-	return l.sets[len(l.sets)-1]
+	return l.memberSets[len(l.memberSets)-1]
 }
 
-// setAt returns the members in force at an index.
-func (l *log) setAt(index int64) Members {
+// membersAt returns the members in force at index.
+func (l *log) membersAt(index int64) Members {
 	var members Members
-	for _, s := range l.sets {
+	for _, s := range l.memberSets {
 		if s.index <= index {
 			members = s.members
 		}
@@ -91,7 +91,7 @@
 	return members
 }
 
-// compact drops the entries up to an index.
+// compact drops the entries up to and including index.
 func (l *log) compact(index int64) {
 	if index <= l.base {
 		return
@@ -99,12 +99,12 @@
 	term, _ := l.term(index)
 	l.entries = append([]Entry(nil), l.entries[index-l.base:]...)
 	l.base, l.baseTerm = index, term
-	for len(l.sets) > 1 && l.sets[1].index <= index {
-		l.sets = l.sets[1:]
+	for len(l.memberSets) > 1 && l.memberSets[1].index <= index {
+		l.memberSets = l.memberSets[1:]
 	}
 }
 
-// replace makes the snapshot the whole log.
+// replace discards the log and restarts it after the snapshot.
 func (l *log) replace(s *Snapshot) {
 	*l = newLog(Restored{Snapshot: s})
 }
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Add appends a set of members with a new learner, which becomes a voter when
-// it has caught up. It returns the index and term of the entry. A member of
-// the same name returns *MemberExistsError, another change in progress
-// *ChangePendingError.
+// Add appends a set of members with a new learner, which becomes a voter once
+// it has caught up, and returns the index and term of the entry. It returns
+// *MemberExistsError if a member has the same name, *ChangePendingError if
+// another change is not committed yet, *NotLeaderError if this node is not the
+// leader, and *NotReadyError if no entry of the leader's term is committed yet.
 func (n *Node) Add(now time.Time, id ID, address string) (index, term int64, err error) {
-	if err := n.mayChange(); err != nil {
+	if err := n.checkChangeAllowed(); err != nil {
 		return 0, 0, err
 	}
-	members := n.log.set().members
+	members := n.log.currentMembers().members
 	if member, ok := members.Find(id.Name); ok {
 		return 0, 0, &MemberExistsError{Member: member}
 	}
-	index = n.change(now, members.With(Member{ID: id, Address: address}))
-	return index, n.hard.Term, nil
+	index = n.appendMembers(now, members.With(Member{ID: id, Address: address}))
+	return index, n.hardState.Term, nil
 }
 
-// Remove appends a set of members without one. A name that is no member's
-// returns *UnknownMemberError; a removal that would leave no majority of
-// voters that answer returns *QuorumAtRiskError.
+// Remove appends a set of members without the named one, and returns the index
+// and term of the entry. It returns *UnknownMemberError if no member has the
+// name, *QuorumAtRiskError if the remaining voters that respond would not be a
+// majority, and otherwise the same errors as Add.
 func (n *Node) Remove(now time.Time, name string) (index, term int64, err error) {
-	if err := n.mayChange(); err != nil {
+	if err := n.checkChangeAllowed(); err != nil {
 		return 0, 0, err
 	}
-	members := n.log.set().members
+	members := n.log.currentMembers().members
 	if _, ok := members.Find(name); !ok {
 		return 0, 0, &UnknownMemberError{Name: name}
 	}
@@ -40,41 +42,41 @@
 	if live < majority(len(voters)) {
 		return 0, 0, &QuorumAtRiskError{Name: name, Live: live, Voters: len(voters)}
 	}
-	index = n.change(now, members)
-	return index, n.hard.Term, nil
+	index = n.appendMembers(now, members)
+	return index, n.hardState.Term, nil
 }
 
-// mayChange refuses a change until the last one and an entry of this term are committed.
-func (n *Node) mayChange() error {
+// checkChangeAllowed returns an error until the previous membership change and an entry of this term are committed.
+func (n *Node) checkChangeAllowed() error {
 	if n.role != leader {
 		return &NotLeaderError{Self: n.cfg.Self, Leader: n.leader}
 	}
 	if n.commit < n.termStart {
-		return &NotReadyError{Term: n.hard.Term}
+		return &NotReadyError{Term: n.hardState.Term}
 	}
-	if set := n.log.set(); set.index > n.commit {
+	if set := n.log.currentMembers(); set.index > n.commit {
 		return &ChangePendingError{Index: set.index}
 	}
 	return nil
 }
 
-func (n *Node) change(now time.Time, members Members) int64 {
+func (n *Node) appendMembers(now time.Time, members Members) int64 {
 	return n.append(now, Entry{Kind: MembersEntry, Members: members})
 }
 
-// promote makes a learner that has all committed entries and answers a voter.
+// promote makes one learner a voter if it is responsive and has all committed entries.
 func (n *Node) promote(now time.Time) {
-	if n.mayChange() != nil {
+	if n.checkChangeAllowed() != nil {
 		return
 	}
-	members := n.log.set().members
+	members := n.log.currentMembers().members
 	for _, member := range members {
 		p := n.progress[member.ID]
 		if member.Voter || p == nil || p.match < n.commit || now.Sub(p.ackedAt) > n.cfg.ElectionTimeout {
 			continue
 		}
 		member.Voter = true
-		n.change(now, members.With(member))
+		n.appendMembers(now, members.With(member))
 		return
 	}
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -14,67 +14,68 @@
 	leader
 )
 
-// Node is one member; it is not safe for concurrent use.
+// Node is one member of the group; it is not safe for concurrent use.
 type Node struct {
 	cfg     Config
 	rnd     *rand.Rand
 	started time.Time
 
-	role     role
-	hard     HardState
-	saved    HardState
-	log      log
-	snapshot *Snapshot
-	commit   int64
-	applied  int64
+	role           role
+	hardState      HardState
+	persistedState HardState
+	log            log
+	snapshot       *Snapshot
+	commit         int64
+	applied        int64
 
 	leader ID
-	// heard is the time of the last message of a leader, or of the start.
-	heard       time.Time
-	electionAt  time.Time
-	heartbeatAt time.Time
-	votes       map[ID]bool
-	founding    map[string]ID
-
-	progress  map[ID]*progress
-	ledSince  time.Time
-	termStart int64
-	round     int64
-	reads     []read
+	// lastLeaderContact is the time of the last message from a leader, or the node's start time.
+	lastLeaderContact time.Time
+	electionAt        time.Time
+	heartbeatAt       time.Time
+	votes             map[ID]bool
+	bootstrapVotes    map[string]ID
+
+	progress     map[ID]*progress
+	leaderSince  time.Time
+	termStart    int64
+	round        int64
+	pendingReads []pendingRead
 
 	out Actions
 }
 
-// New returns a node that starts at now with what was persisted.
+// New returns a node that starts at now with the persisted state r.
 func New(cfg Config, r Restored, now time.Time, rnd *rand.Rand) *Node {
-	n := &Node{cfg: cfg, rnd: rnd, started: now, hard: r.HardState, saved: r.HardState, log: newLog(r), snapshot: r.Snapshot}
+	n := &Node{cfg: cfg, rnd: rnd, started: now, hardState: r.HardState, persistedState: r.HardState, log: newLog(r), snapshot: r.Snapshot}
 	if r.Snapshot != nil {
 		n.commit, n.applied = r.Snapshot.Index, r.Snapshot.Index
 	}
 	n.commit = max(n.commit, min(r.Commit, n.log.last()))
-	// A restarted voter may have promised a leader not to vote for another one.
-	n.heard = now
+	// Before the restart the voter may have acknowledged a leader's request, which commits it not to vote for another
+	// candidate within one election timeout.
+	n.lastLeaderContact = now
 	n.resetElection(now)
 	return n
 }
 
-// Actions returns what has to be done since the last call.
+// Actions returns the work that has accumulated since the last call.
 func (n *Node) Actions() Actions {
 	out := n.out
 	n.out = Actions{}
-	if n.hard != n.saved {
-		hard := n.hard
+	if n.hardState != n.persistedState {
+		hard := n.hardState
 		out.HardState = &hard
-		n.saved = n.hard
+		n.persistedState = n.hardState
 	}
-	out.Entries = n.log.slice(n.log.unsaved, n.log.last())
-	n.log.unsaved = n.log.last() + 1
+	out.Entries = n.log.slice(n.log.firstUnpersisted, n.log.last())
+	n.log.firstUnpersisted = n.log.last() + 1
 	out.Committed = n.log.slice(n.applied+1, n.commit)
 	n.applied = n.commit
 	return out
 }
 
-// Tick tells the time; it should be called a few times in each heartbeat.
+// Tick advances the node's timers to now; it should be called a few times per heartbeat interval.
 func (n *Node) Tick(now time.Time) {
 	if n.role == leader {
 		n.tickLeader(now)
@@ -85,17 +86,17 @@
 	}
 	n.resetElection(now)
 	switch {
-	case len(n.log.sets) == 0:
-		n.found()
-	case n.log.set().members.Voter(n.cfg.Self):
+	case len(n.log.memberSets) == 0:
+		n.bootstrap()
+	case n.log.currentMembers().members.Voter(n.cfg.Self):
 		n.preCampaign(now)
 	}
 }
 
-// Receive takes a message; one for another disk of this instance is dropped.
+// Receive processes a message; a message addressed to a previous disk of this instance is dropped.
 func (n *Node) Receive(now time.Time, m Message) {
 	if m.Kind == FoundRequest {
-		n.onFoundRequest(m)
+		n.onBootstrapRequest(m)
 		return
 	}
 	if m.To != n.cfg.Self {
@@ -103,29 +104,29 @@
 	}
 	switch m.Kind {
 	case FoundReply:
-		n.onFoundReply(now, m)
+		n.onBootstrapReply(now, m)
 		return
 	case PreVoteRequest:
 		n.onPreVoteRequest(now, m)
 		return
 	case VoteRequest:
-		if !m.Transfer && n.promised(now) {
+		if !m.Transfer && n.withholdsVote(now) {
 			return
 		}
 	default:
 	}
-	if m.Term > n.hard.Term && (m.Kind != PreVoteReply || !m.Granted) {
-		n.follow(now, m.Term)
+	if m.Term > n.hardState.Term && (m.Kind != PreVoteReply || !m.Granted) {
+		n.becomeFollower(now, m.Term)
 	}
-	if m.Term < n.hard.Term {
-		n.refuseOld(m)
+	if m.Term < n.hardState.Term {
+		n.rejectStaleTerm(m)
 		return
 	}
-	n.dispatch(now, m)
+	n.handleCurrentTerm(now, m)
 }
 
-// dispatch handles a message of the present term.
-func (n *Node) dispatch(now time.Time, m Message) {
+// handleCurrentTerm handles a message of the current term.
+func (n *Node) handleCurrentTerm(now time.Time, m Message) {
 	switch m.Kind {
 	case PreVoteReply:
 		n.onPreVoteReply(now, m)
@@ -134,23 +135,24 @@
 	case VoteReply:
 		n.onVoteReply(now, m)
 	case AppendRequest:
-		n.hear(now, m)
+		n.observeLeader(now, m)
 		n.onAppend(m)
 	case InstallRequest:
-		n.hear(now, m)
+		n.observeLeader(now, m)
 		n.onInstall(m)
 	case AppendReply:
 		n.onAppendReply(now, m)
 	case TimeoutNow:
-		if n.log.set().members.Voter(n.cfg.Self) {
+		if n.log.currentMembers().members.Voter(n.cfg.Self) {
 			n.campaign(now, true)
 		}
 	default:
 	}
 }
 
-// refuseOld tells the sender of an old term the present one, without an echo that could pass for an acknowledgement.
-func (n *Node) refuseOld(m Message) {
+// rejectStaleTerm replies to a request of an older term with the current term. The reply does not echo Round and
+// SentAt, so that it cannot be taken for an acknowledgement.
+func (n *Node) rejectStaleTerm(m Message) {
 	switch m.Kind {
 	case AppendRequest, InstallRequest:
 		n.reply(m, Message{Kind: AppendReply})
@@ -168,14 +170,14 @@
 	m.From, m.FromAddress = n.cfg.Self, n.cfg.Address
 	m.To, m.ToAddress = to, address
 	if m.Term == 0 {
-		m.Term = n.hard.Term
+		m.Term = n.hardState.Term
 	}
 	n.out.Messages = append(n.out.Messages, m)
 }
 
 // sendMembers sends m to every other member, or to every other voter.
 func (n *Node) sendMembers(m Message, votersOnly bool) {
-	for _, member := range n.log.set().members {
+	for _, member := range n.log.currentMembers().members {
 		if member.ID == n.cfg.Self || votersOnly && !member.Voter {
 			continue
 		}
@@ -183,10 +185,10 @@
 	}
 }
 
-// HardState returns what is persisted besides the log.
-func (n *Node) HardState() HardState { return n.hard }
+// HardState returns the node's current term and vote.
+func (n *Node) HardState() HardState { return n.hardState }
 
-// Status is what a node knows of itself and the quorum.
+// Status is a node's view of itself and of the quorum.
 type Status struct {
 	Self    ID
 	Leader  ID
@@ -194,13 +196,13 @@
 	Commit  int64
 	Members Members
 	Leads   bool
-	// Heard is the time of the last message of a leader; a leader has heard of itself now.
+	// Heard is the time of the last message from a leader, or the time of the call on the leader itself.
 	Heard time.Time
 }
 
-// Status returns the present status.
+// Status returns the node's status at now.
 func (n *Node) Status(now time.Time) Status {
-	s := Status{Self: n.cfg.Self, Leader: n.leader, Term: n.hard.Term, Commit: n.commit, Heard: n.heard, Members: n.log.set().members}
+	s := Status{Self: n.cfg.Self, Leader: n.leader, Term: n.hardState.Term, Commit: n.commit, Heard: n.lastLeaderContact, Members: n.log.currentMembers().members}
 	if n.role == leader {
 		s.Leads = true
 		s.Heard = now
@@ -208,14 +210,15 @@
 	return s
 }
 
-// Silences returns, at a leader, the time since each other member answered last or, if it has not, since the term began.
+// Silences returns, on a leader, the time since it sent the newest request that each other member has acknowledged, but
+// at most the time since this node became the leader; on any other node it returns an empty map.
 func (n *Node) Silences(now time.Time) map[ID]time.Duration {
 	silences := make(map[ID]time.Duration, len(n.progress))
 	for id, p := range n.progress {
-		silences[id] = min(now.Sub(p.ackedAt), now.Sub(n.ledSince))
+		silences[id] = min(now.Sub(p.ackedAt), now.Sub(n.leaderSince))
 	}
 	return silences
 }
 
-// majority returns the number of voters that is a majority of count.
+// majority returns the smallest number of voters that is a majority of count.
 func majority(count int) int { return count/2 + 1 }
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// Bounds of one AppendRequest.
+// Limits of one AppendRequest.
 const (
 	maxAppendEntries = 256
 	maxAppendBytes   = 1 << 20
 )
 
-// progress is what a leader knows of another member.
+// progress is a leader's view of the replication to another member.
 type progress struct {
 	match int64
 	next  int64
-	// waitingSince is the time at which entries were sent that were not acknowledged yet, or zero.
-	waitingSince time.Time
-	// sentRound is the round in which they were sent; the answer to a later one says that they were lost.
-	sentRound int64
-	// ackedAt and ackedRound are those of the newest acknowledged request.
+	// inflightSince is the time at which the entries not yet acknowledged were sent, or zero if there are none.
+	inflightSince time.Time
+	// inflightRound is the round in which they were sent; a reply to a later round means that they were lost.
+	inflightRound int64
+	// ackedAt and ackedRound are the send time and the round of the newest acknowledged request.
 	ackedAt    time.Time
 	ackedRound int64
 }
 
-// Propose appends a command and returns its index and term; it is decided when an entry with this index is committed.
+// Propose appends a command and returns its index and term. The command is committed if the entry committed at this
+// index has this term, and is lost otherwise. A node that is not the leader returns *NotLeaderError.
 func (n *Node) Propose(now time.Time, data []byte) (index, term int64, err error) {
 	if n.role != leader {
 		return 0, 0, &NotLeaderError{Self: n.cfg.Self, Leader: n.leader}
 	}
 	index = n.append(now, Entry{Kind: CommandEntry, Data: data})
-	return index, n.hard.Term, nil
+	return index, n.hardState.Term, nil
 }
 
-// append adds an entry of this term to the leader's log and sends it.
+// append adds an entry of the current term to the leader's log, sends it, and returns its index.
 func (n *Node) append(now time.Time, e Entry) int64 {
 	e.Index = n.log.last() + 1
-	e.Term = n.hard.Term
+	e.Term = n.hardState.Term
 	n.log.append(e)
 	n.trackMembers()
 	n.sendEntries(now)
-	n.advance(now)
+	n.advanceCommit(now)
 	return e.Index
 }
 
-// trackMembers keeps the progress of exactly the other members.
+// trackMembers updates progress to hold exactly the other members.
 func (n *Node) trackMembers() {
 	kept := map[ID]*progress{}
-	for _, member := range n.log.set().members {
+	for _, member := range n.log.currentMembers().members {
 		if member.ID == n.cfg.Self {
 			continue
 		}
@@ -59,15 +60,16 @@
 	n.progress = kept
 }
 
-// tickLeader sends heartbeats, steps down without a majority, and promotes learners.
+// tickLeader sends heartbeats and promotes learners, or steps down if no majority has acknowledged a request within two
+// election timeouts.
 func (n *Node) tickLeader(now time.Time) {
 	if now.Before(n.heartbeatAt) {
 		return
 	}
 	n.heartbeatAt = now.Add(n.cfg.Heartbeat)
-	silence := min(now.Sub(n.quorumTime(now)), now.Sub(n.ledSince))
-	if silence > 2*n.cfg.ElectionTimeout {
-		n.follow(now, n.hard.Term)
+	sinceQuorum := min(now.Sub(n.quorumAckTime(now)), now.Sub(n.leaderSince))
+	if sinceQuorum > 2*n.cfg.ElectionTimeout {
+		n.becomeFollower(now, n.hardState.Term)
 		return
 	}
 	n.promote(now)
@@ -75,10 +77,10 @@
 	n.sendEntries(now)
 }
 
-// heartbeat sends every member an empty request at the index known to agree.
+// heartbeat starts a new round and sends every other member an empty request at the last index known to match.
 func (n *Node) heartbeat(now time.Time) {
 	n.round++
-	for _, member := range n.log.set().members {
+	for _, member := range n.log.currentMembers().members {
 		p := n.progress[member.ID]
 		if p == nil {
 			continue
@@ -99,17 +101,17 @@
 	})
 }
 
-// sendEntries sends each member the entries that it lacks, one request at a time.
+// sendEntries sends each member the entries that it lacks, with at most one unacknowledged request per member.
 func (n *Node) sendEntries(now time.Time) {
-	for _, member := range n.log.set().members {
+	for _, member := range n.log.currentMembers().members {
 		p := n.progress[member.ID]
 		if p == nil || p.next > n.log.last() {
 			continue
 		}
-		if !p.waitingSince.IsZero() && now.Sub(p.waitingSince) < n.cfg.ElectionTimeout {
+		if !p.inflightSince.IsZero() && now.Sub(p.inflightSince) < n.cfg.ElectionTimeout {
 			continue
 		}
-		p.waitingSince, p.sentRound = now, n.round
+		p.inflightSince, p.inflightRound = now, n.round
 		term, ok := n.log.term(p.next - 1)
 		if !ok {
 			n.send(member.ID, member.Address, Message{
@@ -121,7 +123,7 @@
 	}
 }
 
-// batch returns entries from an index on within the bounds of one request, but at least one.
+// batch returns the entries from index first on that fit into one request, but at least one.
 func (n *Node) batch(first int64) []Entry {
 	entries := n.log.slice(first, n.log.last())
 	size := 0
@@ -142,20 +144,21 @@
 		return
 	}
 	if term, ok := n.log.term(m.Index); !ok || term != m.LogTerm {
-		answer.Match = n.hint(m.Index)
+		answer.Match = n.conflictHint(m.Index)
 		n.reply(m, answer)
 		return
 	}
 	for _, e := range m.Entries {
-		n.take(e)
+		n.appendReceived(e)
 	}
 	answer.Granted, answer.Match = true, m.Index+int64(len(m.Entries))
 	n.commit = max(n.commit, min(m.Commit, answer.Match))
 	n.reply(m, answer)
 }
 
-// take appends a leader's entry; one of another term at its index is replaced with all that follow it.
-func (n *Node) take(e Entry) {
+// appendReceived appends an entry from the leader. If the log has an entry of another term at its index, that entry and
+// all after it are dropped first.
+func (n *Node) appendReceived(e Entry) {
 	if term, ok := n.log.term(e.Index); ok && term == e.Term {
 		return
 	}
@@ -165,8 +168,9 @@
 	n.log.append(e)
 }
 
-// hint returns an index below the one that did not agree: before all entries of its term.
-func (n *Node) hint(index int64) int64 {
+// conflictHint returns the index that the leader should try after a mismatch at index: the last one before the entries
+// of the term found below it, but not below the commit index.
+func (n *Node) conflictHint(index int64) int64 {
 	index = min(index-1, n.log.last())
 	term, _ := n.log.term(index)
 	for index > n.commit {
@@ -185,7 +189,7 @@
 	switch {
 	case s.Index <= n.commit:
 	case ok && term == s.Term:
-		// The entries are here, and those after them may count towards a majority.
+		// The log already has these entries; later ones must be kept, since they may count towards a majority.
 		n.commit = s.Index
 	default:
 		n.log.replace(s)
@@ -208,26 +212,27 @@
 	}
 	if !m.Granted {
 		p.next = max(p.match, min(m.Match, p.next-1)) + 1
-		p.waitingSince = time.Time{}
+		p.inflightSince = time.Time{}
 	}
 	if m.Granted && m.Match > p.match {
 		p.match = m.Match
-		p.waitingSince = time.Time{}
+		p.inflightSince = time.Time{}
 	}
-	if m.Round > p.sentRound {
-		p.waitingSince = time.Time{}
+	if m.Round > p.inflightRound {
+		p.inflightSince = time.Time{}
 	}
 	p.next = max(p.next, p.match+1)
-	n.advance(now)
+	n.advanceCommit(now)
 	if n.role == leader {
 		n.sendEntries(now)
 	}
 }
 
-// advance commits what a majority of the voters has, if it is of this term.
-func (n *Node) advance(now time.Time) {
+// advanceCommit commits up to the last index that a majority of the voters has, if its entry is of the current term.
+// The leader steps down once a set of members that does not include it as a voter is committed.
+func (n *Node) advanceCommit(now time.Time) {
 	var matches []int64
-	for _, id := range n.log.set().members.Voters() {
+	for _, id := range n.log.currentMembers().members.Voters() {
 		if id == n.cfg.Self {
 			matches = append(matches, n.log.last())
 			continue
@@ -236,22 +241,22 @@
 	}
 	slices.Sort(matches)
 	index := matches[len(matches)-majority(len(matches))]
-	if term, _ := n.log.term(index); index > n.commit && term == n.hard.Term {
+	if term, _ := n.log.term(index); index > n.commit && term == n.hardState.Term {
 		n.commit = index
 	}
 	n.confirmReads()
-	if set := n.log.set(); set.index <= n.commit && !set.members.Voter(n.cfg.Self) {
+	if set := n.log.currentMembers(); set.index <= n.commit && !set.members.Voter(n.cfg.Self) {
 		n.heartbeat(now)
-		n.follow(now, n.hard.Term)
+		n.becomeFollower(now, n.hardState.Term)
 	}
 }
 
 // Compact makes data, the replicated state after the entry at index, the
-// snapshot, and returns it with the entries after it, which the caller
-// persists in place of all else.
+// snapshot. It returns the snapshot with the hard state and the entries after
+// index, which the caller persists in place of everything stored before.
 func (n *Node) Compact(index int64, data []byte) Restored {
 	term, _ := n.log.term(index)
-	n.snapshot = &Snapshot{Index: index, Term: term, Members: n.log.setAt(index), Data: data}
+	n.snapshot = &Snapshot{Index: index, Term: term, Members: n.log.membersAt(index), Data: data}
 	n.log.compact(max(n.log.base, index-int64(n.cfg.RetainedEntries)))
-	return Restored{HardState: n.hard, Snapshot: n.snapshot, Entries: n.log.slice(index+1, n.log.last())}
+	return Restored{HardState: n.hardState, Snapshot: n.snapshot, Entries: n.log.slice(index+1, n.log.last())}
 }
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// ID names a voter: an instance and the identity of its disk.
+// ID identifies a voter by the name of its instance and the identity of its disk.
 type ID struct {
 	Name string
 	Disk string
 }
 
-// Member is an instance that receives the log; only a voter counts towards a majority.
+// Member is an instance that receives the log: a voter, which counts towards a majority, or a learner, which does not.
 type Member struct {
 	ID      ID
 	Address string
 	Voter   bool
 }
 
-// Members is a set of members in the order of their names; it is immutable.
+// Members is an immutable set of members, sorted by name.
 type Members []Member
 
-// Find returns the member with the name.
+// Find returns the member with the given name.
 func (m Members) Find(name string) (Member, bool) {
-	i := slices.IndexFunc(m, func(one Member) bool { return one.ID.Name == name })
+	i := slices.IndexFunc(m, func(member Member) bool { return member.ID.Name == name })
 	if i < 0 {
 		return Member{}, false
 	}
 	return m[i], true
 }
 
-// Voter reports whether id is a voter.
+// Voter reports whether id, including its disk, is a voter.
 func (m Members) Voter(id ID) bool {
-	one, ok := m.Find(id.Name)
-	return ok && one.ID == id && one.Voter
+	member, ok := m.Find(id.Name)
+	return ok && member.ID == id && member.Voter
 }
 
-// Voters returns the voters.
+// Voters returns the IDs of the voters, sorted by name.
 func (m Members) Voters() []ID {
 	var voters []ID
-	for _, one := range m {
-		if one.Voter {
-			voters = append(voters, one.ID)
+	for _, member := range m {
+		if member.Voter {
+			voters = append(voters, member.ID)
 		}
 	}
 	return voters
 }
 
-// With returns the members with one added or replaced.
-func (m Members) With(one Member) Members {
-	with := append(m.Without(one.ID.Name), one)
+// With returns a copy in which member is added, or replaces the member of the same name.
+func (m Members) With(member Member) Members {
+	with := append(m.Without(member.ID.Name), member)
 	slices.SortFunc(with, func(a, b Member) int { return strings.Compare(a.ID.Name, b.ID.Name) })
 	return with
 }
 
-// Without returns the members without the one of the name.
+// Without returns a copy without the member of the given name.
 func (m Members) Without(name string) Members {
 	var without Members
-	for _, one := range m {
-		if one.ID.Name != name {
-			without = append(without, one)
+	for _, member := range m {
+		if member.ID.Name != name {
+			without = append(without, member)
 		}
 	}
 	return without
 }
 
-// EntryKind tells what an entry holds.
+// EntryKind is the type of a log entry.
 type EntryKind int
 
-// Kinds of entries.
+// The kinds of log entries.
 const (
-	// CommandEntry holds a command of the replicated state.
+	// CommandEntry holds a command for the replicated state machine.
 	CommandEntry EntryKind = iota
-	// TermEntry is empty and begins a leader's term.
+	// TermEntry is the empty entry that a leader appends at the start of its term.
 	TermEntry
-	// MembersEntry holds a new set of members, which is in force from its append on.
+	// MembersEntry holds a new set of members, which takes effect when it is appended, before it is committed.
 	MembersEntry
 )
 
-// Entry is one entry of the log; indices begin at 1.
+// Entry is one entry of the log; the first index is 1.
 type Entry struct {
 	Index   int64
 	Term    int64
@@ -88,13 +88,13 @@
 	Members Members
 }
 
-// HardState is what a voter must remember over a restart besides its log.
+// HardState is the state besides the log that a voter must persist across restarts.
 type HardState struct {
 	Term int64
 	Vote ID
 }
 
-// Snapshot is the replicated state after the entry at Index.
+// Snapshot is the replicated state after applying the entry at Index.
 type Snapshot struct {
 	Index   int64
 	Term    int64
@@ -102,37 +102,38 @@
 	Data    []byte
 }
 
-// Restored is what was persisted before a restart; a new voter has the zero value.
+// Restored is the state persisted before a restart; it is the zero value for a new voter.
 type Restored struct {
 	HardState HardState
 	Snapshot  *Snapshot
 	Entries   []Entry
-	// Commit is the highest index that was known to be committed, or lower; what it covers is in force at once.
+	// Commit is an index known to be committed, not necessarily the highest; the node treats entries up to it as
+	// committed from the start.
 	Commit int64
 }
 
-// Founder is a voter of the founding quorum, whose disk is not known yet.
+// Founder is a voter of the initial quorum, whose disk identity is not known until bootstrap.
 type Founder struct {
 	Name    string
 	Address string
 }
 
-// Config is what a node needs to know at its start.
+// Config holds the settings of a node.
 type Config struct {
 	Self    ID
 	Address string
-	// Founders are the voters that found the quorum together; empty waits to be added.
+	// Founders are the initial voters, which bootstrap the quorum together; if empty, the node waits to be added.
 	Founders        []Founder
 	Heartbeat       time.Duration
 	ElectionTimeout time.Duration
-	// RetainedEntries is the number of entries before a snapshot that are kept for slow followers.
+	// RetainedEntries is the number of entries before a snapshot that are kept in memory for slow followers.
 	RetainedEntries int
 }
 
-// MessageKind tells what a message asks or answers.
+// MessageKind is the type of a message.
 type MessageKind int
 
-// Kinds of messages.
+// The kinds of messages.
 const (
 	FoundRequest MessageKind = iota
 	FoundReply
@@ -143,11 +144,11 @@
 	AppendRequest
 	AppendReply
 	InstallRequest
-	// TimeoutNow asks a voter to stand for election at once, as the leader has stepped down in its favour.
+	// TimeoutNow asks a voter to start an election at once, because the leader has stepped down in its favour.
 	TimeoutNow
 )
 
-// Message goes from one node to another; fields that a kind does not use are zero.
+// Message is sent from one node to another; fields that its kind does not use are zero.
 type Message struct {
 	Kind        MessageKind
 	From        ID
@@ -155,45 +156,47 @@
 	To          ID
 	ToAddress   string
 	Term        int64
-	// Index and LogTerm are those of the entry before Entries, or of the candidate's last entry.
+	// Index and LogTerm are those of the entry that precedes Entries, or of the candidate's last entry.
 	Index   int64
 	LogTerm int64
 	Commit  int64
 	Entries []Entry
-	// Snapshot is that of an InstallRequest.
+	// Snapshot is set in an InstallRequest only.
 	Snapshot *Snapshot
-	// Granted says that a vote was given or that entries were taken.
+	// Granted reports that the vote was granted, or that the entries or the snapshot were accepted.
 	Granted bool
-	// Match is the last index known to agree, or the one to try next if Granted is false.
+	// Match is the last index known to match the leader's log or, if Granted is false, the index to try next.
 	Match int64
-	// Transfer says that the leader of the term before has stepped down in the candidate's favour.
+	// Transfer marks a vote request of a leadership transfer: the leader of the previous term has stepped down in
+	// the candidate's favour.
 	Transfer bool
-	// Round and SentAt of an AppendRequest are echoed; SentAt is the time since the sender's start.
+	// Round and SentAt of an AppendRequest or InstallRequest are echoed in the reply; SentAt is the time since the
+	// sender's start.
 	Round  int64
 	SentAt time.Duration
 }
 
-// ReadResult answers a read: if OK, the state that has applied Index is current.
+// ReadResult is the answer to a read: if OK, a state that has applied the entry at Index is current.
 type ReadResult struct {
 	Token int64
 	Index int64
 	OK    bool
 }
 
-// Actions is what the caller of a node must do, in the order of the fields.
+// Actions is the work that the caller of a node must perform, in the order of the fields.
 type Actions struct {
-	// HardState is persisted if it is not nil.
+	// HardState must be persisted if it is not nil.
 	HardState *HardState
-	// Install replaces the log and the replicated state if it is not nil.
+	// Install, if not nil, replaces the log and the replicated state.
 	Install *Snapshot
-	// Entries replace those persisted from the first one's index on.
+	// Entries replace the persisted entries from the index of the first one on.
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
 	Reads     []ReadResult
 }
 
-// Persists reports whether something must be synced.
+// Persists reports whether a contains anything that must be persisted and synced.
 func (a Actions) Persists() bool {
 	return a.HardState != nil || a.Install != nil || len(a.Entries) > 0
 }
--- a/journal/errors.go
+++ b/journal/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// WriteError says that a write, a sync or a rename failed; the journal takes no more records.
+// WriteError reports that an operation that changes the data folder failed; the journal accepts no more records.
 type WriteError struct {
 	Operation string
 	Name      string
@@ -17,7 +17,7 @@
 // Unwrap returns the cause.
 func (e *WriteError) Unwrap() error { return e.Cause }
 
-// CorruptError says that a synced part of the file was changed.
+// CorruptError reports damage in the file that a crash cannot explain.
 type CorruptError struct {
 	Name   string
 	Offset int64
@@ -29,13 +29,13 @@
 	return fmt.Sprintf("journal: file %q is corrupt at byte %d: %s", e.Name, e.Offset, e.Reason)
 }
 
-// LockedError says that another process uses the data folder.
+// LockedError reports that another process uses the data folder.
 type LockedError struct {
 	Folder string
 	Cause  error
 }
 
-// Error names the folder.
+// Error names the folder and the cause.
 func (e *LockedError) Error() string {
 	return fmt.Sprintf("journal: data folder %q is in use by another process: %v", e.Folder, e.Cause)
 }
@@ -43,7 +43,7 @@
 // Unwrap returns the cause.
 func (e *LockedError) Unwrap() error { return e.Cause }
 
-// ReadError says that the data folder cannot be read.
+// ReadError reports that a file in the data folder cannot be read.
 type ReadError struct {
 	Name  string
 	Cause error
--- a/journal/fake_test.go
+++ b/journal/fake_test.go
@@ -6,42 +6,42 @@
 	"syscall"
 )
 
-// disk is a folder in memory that forgets at a crash what was not synced.
-type disk struct {
+// memoryDisk is an in-memory folder that loses unsynced changes on a crash.
+type memoryDisk struct {
 	files  map[string]*memoryFile
 	synced map[string]*memoryFile
-	// room is the number of bytes that may still be written; below zero is unbounded.
-	room int
-	// syncsLeft is the number of syncs that succeed; below zero is unbounded.
+	// capacity is the number of bytes that may still be written; a negative value means no limit.
+	capacity int
+	// syncsLeft is the number of syncs that succeed before one fails; a negative value means no limit.
 	syncsLeft int
 }
 
 type memoryFile struct {
-	disk    *disk
+	disk    *memoryDisk
 	data    []byte
 	durable []byte
-	// unsynced holds where writes since the last sync began.
+	// unsynced holds the start offsets of the writes since the last sync.
 	unsynced []int
 }
 
 var (
-	_ Files = (*disk)(nil)
+	_ Files = (*memoryDisk)(nil)
 	_ File  = (*memoryFile)(nil)
 )
 
-func newDisk() *disk {
-	return &disk{files: map[string]*memoryFile{}, synced: map[string]*memoryFile{}, room: -1, syncsLeft: -1}
+func newMemoryDisk() *memoryDisk {
+	return &memoryDisk{files: map[string]*memoryFile{}, synced: map[string]*memoryFile{}, capacity: -1, syncsLeft: -1}
 }
 
-// diskWith returns a disk whose journal has the contents.
-func diskWith(b []byte) *disk {
-	d := newDisk()
+// diskWith returns a disk whose journal file has the contents b.
+func diskWith(b []byte) *memoryDisk {
+	d := newMemoryDisk()
 	d.files[fileName] = &memoryFile{disk: d, data: b, durable: b}
 	d.synced[fileName] = d.files[fileName]
 	return d
 }
 
-func (d *disk) Read(name string) ([]byte, error) {
+func (d *memoryDisk) Read(name string) ([]byte, error) {
 	f, ok := d.files[name]
 	if !ok {
 		return nil, fs.ErrNotExist
@@ -49,20 +49,20 @@
 	return slices.Clone(f.data), nil
 }
 
-func (d *disk) Append(name string) (File, error) {
+func (d *memoryDisk) Append(name string) (File, error) {
 	if d.files[name] == nil {
 		d.files[name] = &memoryFile{disk: d}
 	}
 	return d.files[name], nil
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *memoryDisk) Rename(from, to string) error {
 	d.files[to] = d.files[from]
 	delete(d.files, from)
 	return nil
 }
 
-func (d *disk) Remove(name string) error {
+func (d *memoryDisk) Remove(name string) error {
 	if d.files[name] == nil {
 		return fs.ErrNotExist
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (d *disk) sync() error {
+func (d *memoryDisk) sync() error {
 	if d.syncsLeft == 0 {
 		return syscall.EIO
 	}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (d *disk) Sync() error {
+func (d *memoryDisk) Sync() error {
 	if err := d.sync(); err != nil {
 		return err
 	}
@@ -89,17 +89,17 @@
 	return nil
 }
 
-// crash returns the disk after a power failure that kept extra bytes of each file's unsynced tail, without the unsynced
-// writes whose bit is set in lost.
-func (d *disk) crash(extra int, lost ...uint64) *disk {
-	after := newDisk()
+// crash returns the disk after a power failure that preserved extra bytes of each file's unsynced tail, and zeroed the
+// unsynced writes whose bit is set in lost.
+func (d *memoryDisk) crash(extra int, lost ...uint64) *memoryDisk {
+	after := newMemoryDisk()
 	for name, f := range d.synced {
 		kept := slices.Clone(f.durable)
 		if len(f.data) > len(kept) {
 			kept = append(kept, f.data[len(kept):min(len(f.data), len(kept)+extra)]...)
 		}
 		for _, bits := range lost {
-			f.lose(kept, bits)
+			f.clearWrites(kept, bits)
 		}
 		after.files[name] = &memoryFile{disk: after, data: kept, durable: kept}
 		after.synced[name] = after.files[name]
@@ -107,8 +107,8 @@
 	return after
 }
 
-// lose clears the unsynced writes whose bit is set.
-func (f *memoryFile) lose(b []byte, bits uint64) {
+// clearWrites zeroes the unsynced writes whose bit is set in bits.
+func (f *memoryFile) clearWrites(b []byte, bits uint64) {
 	for i, from := range f.unsynced {
 		to := len(b)
 		if i+1 < len(f.unsynced) {
@@ -122,9 +122,9 @@
 
 func (f *memoryFile) Write(b []byte) (int, error) {
 	n := len(b)
-	if f.disk.room >= 0 {
-		n = min(n, f.disk.room)
-		f.disk.room -= n
+	if f.disk.capacity >= 0 {
+		n = min(n, f.disk.capacity)
+		f.disk.capacity -= n
 	}
 	f.unsynced = append(f.unsynced, len(f.data))
 	f.data = append(f.data, b[:n]...)
--- a/journal/files.go
+++ b/journal/files.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// File is a file that is open for appending.
+// File is a file opened for appending.
 type File interface {
 	io.WriteCloser
 	Sync() error
@@ -16,15 +16,15 @@
 
 // Files is the folder of one journal.
 type Files interface {
-	// Read returns the contents of a file; one that does not exist returns fs.ErrNotExist.
+	// Read returns the contents of a file, or fs.ErrNotExist if it does not exist.
 	Read(name string) ([]byte, error)
-	// Append opens a file for appending and creates it if it does not exist.
+	// Append opens a file for appending, and creates it if it does not exist.
 	Append(name string) (File, error)
-	// Rename replaces the file to by the file from.
+	// Rename renames the file from to the name to, and replaces an existing file.
 	Rename(from, to string) error
-	// Remove deletes a file; one that does not exist returns fs.ErrNotExist.
+	// Remove deletes a file; it returns fs.ErrNotExist if the file does not exist.
 	Remove(name string) error
-	// Sync makes created, renamed and removed names last.
+	// Sync makes the creation, renaming and removal of files durable.
 	Sync() error
 }
 
@@ -36,7 +36,7 @@
 
 const lockName = "lock"
 
-// Folder is a folder of the operating system; it is locked against other processes.
+// Folder is a folder in the operating system's file system, locked against other processes.
 type Folder struct {
 	path string
 	lock *os.File
@@ -44,7 +44,8 @@
 
 var _ Files = (*Folder)(nil)
 
-// OpenFolder creates the folder if need be and locks it; a folder in use returns *LockedError.
+// OpenFolder creates the folder if it does not exist, and locks it. It returns *LockedError if another process uses the
+// folder, and *WriteError if the folder or its lock file cannot be created.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, &WriteError{Operation: "creation", Name: path, Cause: err}
@@ -65,12 +66,12 @@
 	return os.ReadFile(filepath.Join(f.path, name))
 }
 
-// Append opens a file for appending.
+// Append opens a file for appending, and creates it if it does not exist.
 func (f *Folder) Append(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Rename replaces the file to by the file from.
+// Rename renames the file from to the name to, and replaces an existing file.
 func (f *Folder) Rename(from, to string) error {
 	return os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to))
 }
@@ -80,7 +81,7 @@
 	return os.Remove(filepath.Join(f.path, name))
 }
 
-// Sync syncs the folder and the folder above it.
+// Sync syncs the folder and its parent folder.
 func (f *Folder) Sync() error {
 	for _, path := range []string{f.path, filepath.Dir(f.path)} {
 		if err := syncFolder(path); err != nil {
--- a/journal/journal.go
+++ b/journal/journal.go
@@ -11,15 +11,15 @@
 	nextName = "journal.next"
 )
 
-// Contents is what a journal held when it was opened.
+// Contents is the contents of a journal when it was opened.
 type Contents struct {
-	// Identity is the disk's identity, made when the folder was empty.
+	// Identity is the disk's identity, which was assigned when the folder was empty.
 	Identity string
 	// Snapshot is the last snapshot, or nil.
 	Snapshot []byte
-	// Records are those appended since, in order.
+	// Records are those appended since the snapshot, in order.
 	Records [][]byte
-	// Cut is the number of bytes that were cut off, from the first record that a crash left incomplete.
+	// Cut is the number of bytes that were truncated, from the first record that a crash left incomplete or damaged.
 	Cut int64
 }
 
@@ -29,16 +29,18 @@
 	file     File
 	identity string
 	size     int64
-	// synced is the length of the file that lasts, and told the length that the last record tells.
-	synced, told int64
-	buffer       []byte
-	failure      error
+	// synced is the length of the synced part of the file, and recordedSync the synced length that a record last stored,
+	// both in bytes.
+	synced, recordedSync int64
+	buffer               []byte
+	failure              error
 }
 
-// Open reads the journal of the folder and cuts off what follows the last
-// record that a crash left whole; an empty folder becomes a journal with the new identity. A damaged
-// file returns *CorruptError, one that cannot be read *ReadError, and one that
-// cannot be written *WriteError.
+// Open reads the journal of the folder and truncates it after the last record
+// before any damage from a crash. An empty folder gets a new journal with the
+// given identity. Open returns *CorruptError if the file is damaged in another
+// way, *ReadError if it cannot be read, and *WriteError if the folder cannot be
+// written.
 func Open(files Files, identity string) (*Journal, Contents, error) {
 	j := &Journal{files: files}
 	if err := files.Remove(nextName); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -62,21 +64,21 @@
 	return j, c, j.reopen(c.Cut > 0)
 }
 
-// parse returns the contents of a file and the offset after the last whole record that no damage precedes.
+// parse returns the contents of a file and the offset after the last complete frame before any damage.
 func parse(b []byte) (c Contents, end int64, err error) {
 	for end < int64(len(b)) {
-		p, torn, reason := readPart(b[end:])
+		p, torn, reason := readFrame(b[end:])
 		if torn && c.Identity != "" {
 			return c, end, nil
 		}
 		if torn {
 			reason = "the identity is incomplete"
 		}
-		if reason != "" && c.Identity != "" && leftByCrash(b, end) {
+		if reason != "" && c.Identity != "" && mayBeCrashTrace(b, end) {
 			return c, end, nil
 		}
 		if reason == "" {
-			reason = c.add(p)
+			reason = c.addFrame(p)
 		}
 		if reason != "" {
 			return c, end, &CorruptError{Name: fileName, Offset: end, Reason: reason}
@@ -89,27 +91,28 @@
 	return c, end, nil
 }
 
-// add takes a part and returns why it may not stand at its place, or "".
-func (c *Contents) add(p part) string {
+// addFrame adds a frame to the contents. It returns why the frame is invalid at its position, or "".
+func (c *Contents) addFrame(p frame) string {
 	switch {
-	case p.kind == identityKind && c.Identity == "":
+	case p.kind == identityFrame && c.Identity == "":
 		c.Identity = string(p.payload)
 	case c.Identity == "":
 		return "the identity is missing"
-	case p.kind == snapshotKind && c.Snapshot == nil && len(c.Records) == 0:
+	case p.kind == snapshotFrame && c.Snapshot == nil && len(c.Records) == 0:
 		c.Snapshot = p.payload
-	case p.kind == recordKind:
+	case p.kind == recordFrame:
 		c.Records = append(c.Records, p.payload)
-	case p.kind == syncedRecordKind && len(p.payload) >= syncedSize:
-		c.Records = append(c.Records, p.payload[syncedSize:])
+	case p.kind == syncedRecordFrame && len(p.payload) >= syncedLengthSize:
+		c.Records = append(c.Records, p.payload[syncedLengthSize:])
 	default:
-		return "a part stands at the wrong place"
+		return "a frame is out of place"
 	}
 	return ""
 }
 
-// reopen opens the file for appending. What a crashed process wrote and did
-// not sync is synced first, since it was read and will be relied on.
+// reopen opens the file for appending, and truncates it to j.size if cut is
+// set. It syncs the file, since records that a crashed process wrote without a
+// sync have been read and must be durable before the caller relies on them.
 func (j *Journal) reopen(cut bool) error {
 	f, err := j.files.Append(fileName)
 	if err != nil {
@@ -130,24 +133,24 @@
 // Size returns the length of the file in bytes.
 func (j *Journal) Size() int64 { return j.size }
 
-// Append writes records, which last only after Sync; a failure returns *WriteError.
+// Append writes records, which are durable only after Sync; it returns *WriteError on failure.
 func (j *Journal) Append(records ...[]byte) error {
 	if j.failure != nil {
 		return j.failure
 	}
 	j.buffer = j.buffer[:0]
 	for _, record := range records {
-		if j.synced == j.told {
-			j.buffer = appendPart(j.buffer, recordKind, record)
+		if j.synced == j.recordedSync {
+			j.buffer = appendFrame(j.buffer, recordFrame, record)
 			continue
 		}
-		j.told = j.synced
-		j.buffer = appendPart(j.buffer, syncedRecordKind, append(binary.LittleEndian.AppendUint64(nil, uint64(j.synced)), record...))
+		j.recordedSync = j.synced
+		j.buffer = appendFrame(j.buffer, syncedRecordFrame, append(binary.LittleEndian.AppendUint64(nil, uint64(j.synced)), record...))
 	}
 	return j.write(fileName, j.buffer)
 }
 
-// Sync makes all records last; a failure returns *WriteError.
+// Sync makes all appended records durable; it returns *WriteError on failure.
 func (j *Journal) Sync() error {
 	if j.failure != nil {
 		return j.failure
@@ -159,8 +162,8 @@
 	return nil
 }
 
-// Compact replaces everything by the snapshot and the records, which last when
-// it returns; a failure returns *WriteError.
+// Compact replaces the contents of the journal with the snapshot and the
+// records, which are durable when it returns; it returns *WriteError on failure.
 func (j *Journal) Compact(snapshot []byte, records ...[]byte) error {
 	if j.failure != nil {
 		return j.failure
@@ -173,12 +176,12 @@
 		j.file.Close()
 	}
 	j.file, j.size = f, 0
-	b := appendPart(nil, identityKind, []byte(j.identity))
+	b := appendFrame(nil, identityFrame, []byte(j.identity))
 	if snapshot != nil {
-		b = appendPart(b, snapshotKind, snapshot)
+		b = appendFrame(b, snapshotFrame, snapshot)
 	}
 	for _, record := range records {
-		b = appendPart(b, recordKind, record)
+		b = appendFrame(b, recordFrame, record)
 	}
 	if err := j.write(nextName, b); err != nil {
 		return err
@@ -192,11 +195,11 @@
 	if err := j.files.Sync(); err != nil {
 		return j.fail("sync", "the folder", err)
 	}
-	j.synced, j.told = j.size, 0
+	j.synced, j.recordedSync = j.size, 0
 	return nil
 }
 
-// Close closes the file without a sync.
+// Close closes the file without syncing it.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
@@ -213,7 +216,7 @@
 	return nil
 }
 
-// fail makes a failure final.
+// fail records a failure, which all later calls return.
 func (j *Journal) fail(operation, name string, cause error) error {
 	j.failure = &WriteError{Operation: operation, Name: name, Cause: cause}
 	return j.failure
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -23,10 +23,10 @@
 	return j, c
 }
 
-// written returns the file of a journal with the records and the length of all but the last.
-func written(t testing.TB, records ...string) (b []byte, beforeLast int) {
+// writeJournal returns the file of a journal with the records, and its length before the last record.
+func writeJournal(t testing.TB, records ...string) (b []byte, beforeLast int) {
 	t.Helper()
-	d := newDisk()
+	d := newMemoryDisk()
 	j, _ := mustOpen(t, d)
 	for _, r := range records {
 		beforeLast = int(j.Size())
@@ -37,7 +37,7 @@
 	return d.files[fileName].data, beforeLast
 }
 
-func texts(records [][]byte) []string {
+func recordTexts(records [][]byte) []string {
 	var all []string
 	for _, r := range records {
 		all = append(all, string(r))
@@ -46,28 +46,28 @@
 }
 
 func TestCutAtEveryByteOfTheLastRecord(t *testing.T) {
-	b, before := written(t, "first", "second", "the last record")
+	b, before := writeJournal(t, "first", "second", "the last record")
 	for n := before; n < len(b); n++ {
 		d := diskWith(slices.Clone(b[:n]))
 		j, c := mustOpen(t, d)
-		if diff := cmp.Diff([]string{"first", "second"}, texts(c.Records)); diff != "" {
+		if diff := cmp.Diff([]string{"first", "second"}, recordTexts(c.Records)); diff != "" {
 			t.Fatalf("cut at byte %d: %s", n, diff)
 		}
 		if c.Cut != int64(n-before) {
-			t.Fatalf("cut at byte %d: %d bytes were cut off", n, c.Cut)
+			t.Fatalf("cut at byte %d: %d bytes were truncated", n, c.Cut)
 		}
 		if err := errors.Join(j.Append([]byte("next")), j.Sync()); err != nil {
 			t.Fatal(err)
 		}
 		_, c = mustOpen(t, d.crash(0))
-		if diff := cmp.Diff([]string{"first", "second", "next"}, texts(c.Records)); diff != "" {
+		if diff := cmp.Diff([]string{"first", "second", "next"}, recordTexts(c.Records)); diff != "" {
 			t.Fatalf("cut at byte %d, then appended: %s", n, diff)
 		}
 	}
 }
 
 func TestFlippedBitIsRefused(t *testing.T) {
-	b, _ := written(t, "first", "second", "the last record")
+	b, _ := writeJournal(t, "first", "second", "the last record")
 	for n := range b {
 		for bit := range 8 {
 			damaged := slices.Clone(b)
@@ -75,15 +75,16 @@
 			_, c, err := Open(diskWith(damaged), "disk-new")
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) {
-				t.Fatalf("bit %d of byte %d: error %v, contents %v", bit, n, err, texts(c.Records))
+				t.Fatalf("bit %d of byte %d: error %v, contents %v", bit, n, err, recordTexts(c.Records))
 			}
 		}
 	}
 }
 
-// TestHoles loses writes that were not synced while a later one is kept: the journal opens with what precedes them.
+// TestHoles zeroes an unsynced write while a later one is preserved, as a power failure may. The journal must open with
+// the records before the lost one; the loss of a synced record must be an error.
 func TestHoles(t *testing.T) {
-	d := newDisk()
+	d := newMemoryDisk()
 	j, _ := mustOpen(t, d)
 	sizes := []int64{j.Size()}
 	if err := errors.Join(j.Append([]byte("synced")), j.Sync()); err != nil {
@@ -108,14 +109,14 @@
 			}
 			after := diskWith(damaged)
 			j, got := mustOpen(t, after)
-			if diff := cmp.Diff(c.want, texts(got.Records)); diff != "" {
+			if diff := cmp.Diff(c.want, recordTexts(got.Records)); diff != "" {
 				t.Fatalf("write %d lost from byte %d on: %s", c.lost, from, diff)
 			}
 			if err := errors.Join(j.Append([]byte("next")), j.Sync()); err != nil {
 				t.Fatal(err)
 			}
-			if _, got = mustOpen(t, after.crash(0)); !slices.Equal(texts(got.Records), append(slices.Clone(c.want), "next")) {
-				t.Fatalf("after an append: %v", texts(got.Records))
+			if _, got = mustOpen(t, after.crash(0)); !slices.Equal(recordTexts(got.Records), append(slices.Clone(c.want), "next")) {
+				t.Fatalf("after an append: %v", recordTexts(got.Records))
 			}
 		}
 	}
@@ -127,28 +128,28 @@
 }
 
 func TestFullDisk(t *testing.T) {
-	b, before := written(t, "first", "second")
-	for room := range len(b) - before {
+	b, before := writeJournal(t, "first", "second")
+	for capacity := range len(b) - before {
 		d := diskWith(slices.Clone(b[:before]))
 		j, _ := mustOpen(t, d)
-		d.room = room
+		d.capacity = capacity
 		err := j.Append([]byte("second"))
 		if !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("room for %d bytes: error %v", room, err)
+			t.Fatalf("capacity of %d bytes: error %v", capacity, err)
 		}
-		d.room = -1
+		d.capacity = -1
 		if again := j.Append([]byte("third")); !errors.Is(again, syscall.ENOSPC) {
-			t.Fatalf("a failed journal took a record: error %v", again)
+			t.Fatalf("a failed journal accepted a record: error %v", again)
 		}
-		_, c := mustOpen(t, d.crash(room))
-		if diff := cmp.Diff([]string{"first"}, texts(c.Records)); diff != "" {
-			t.Fatalf("room for %d bytes: %s", room, diff)
+		_, c := mustOpen(t, d.crash(capacity))
+		if diff := cmp.Diff([]string{"first"}, recordTexts(c.Records)); diff != "" {
+			t.Fatalf("capacity of %d bytes: %s", capacity, diff)
 		}
 	}
 }
 
 func TestFailedSyncIsFinal(t *testing.T) {
-	d := newDisk()
+	d := newMemoryDisk()
 	j, _ := mustOpen(t, d)
 	d.syncsLeft = 0
 	err := errors.Join(j.Append([]byte("first")), j.Sync())
@@ -198,10 +199,11 @@
 	}
 }
 
-// TestCrashes compares the journal with a plain list under appends, syncs, compactions and power failures at any byte.
+// TestCrashes compares the journal with a list of records under appends, syncs, compactions and power failures that
+// preserve part of the unsynced bytes.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDisk()
+		d := newMemoryDisk()
 		j, _, err := Open(d, "disk-1")
 		if err != nil {
 			t.Fatal(err)
@@ -240,7 +242,7 @@
 				if n < durable || n > len(records) {
 					t.Fatalf("%d records, of %d durable and %d appended", n, durable, len(records))
 				}
-				if diff := cmp.Diff(records[:n], texts(c.Records), cmpopts.EquateEmpty()); diff != "" {
+				if diff := cmp.Diff(records[:n], recordTexts(c.Records), cmpopts.EquateEmpty()); diff != "" {
 					t.Fatal(diff)
 				}
 				records, durable = records[:n], n
