--- a/inventory/errors.go
+++ b/inventory/errors.go
@@ -6,22 +6,22 @@
 	"arbutusreel/fault"
 )
 
-// Kinds of names that a caller may ask for.
+// Kinds of names that a caller may request.
 const (
 	kindModel   = "model"
 	kindAdapter = "adapter"
 	kindVersion = "version"
 )
 
-// UnknownNameError says that a caller asks for something that the inventory does not offer by this name.
+// UnknownNameError is returned for a requested model, adapter or version that the inventory does not offer.
 type UnknownNameError struct {
 	Kind string
 	Name string
-	// Model is the model whose adapter or version is asked for.
+	// Model is the model whose adapter or version is requested; empty if the model itself is unknown.
 	Model string
 }
 
-// Error names the kind, the name and its model.
+// Error returns a message with the kind, the name and its model.
 func (e *UnknownNameError) Error() string {
 	if e.Model == "" {
 		return fmt.Sprintf("no %s has the name %q", e.Kind, e.Name)
@@ -29,17 +29,17 @@
 	return fmt.Sprintf("model %q offers no %s %q", e.Model, e.Kind, e.Name)
 }
 
-// Fault is one part of an inventory that is not valid; Path names it as in teams[2].homeRegion.
+// Fault is one invalid value of an inventory; Path locates it, as in teams[2].homeRegion.
 type Fault struct {
 	Path   string
 	Value  string
 	Reason string
 }
 
-// Error names the path, the value and the reason.
+// Error returns a message with the path, the value and the reason.
 func (f Fault) Error() string {
 	return fmt.Sprintf("inventory: %s: value %q: %s", f.Path, f.Value, f.Reason)
 }
 
-// Faults is every fault of an inventory.
+// Faults is the list of all faults of an inventory.
 type Faults = fault.List[Fault]
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Inventory is a checked configuration with its indexes.
+// Inventory is a validated configuration with its indexes.
 type Inventory struct {
 	contents Contents
 	regions  map[string]Region
@@ -13,29 +13,30 @@
 	services map[string]Service
 	classes  map[string]Class
 	teams    map[string]Team
-	digests  map[string]string
+	// teamByDigest maps credential digests to team names.
+	teamByDigest map[string]string
 }
 
-// New checks the contents and returns the inventory; invalid contents return Faults.
+// New validates the contents and returns the inventory, or Faults if they are invalid.
 func New(c Contents) (*Inventory, error) {
 	inv := &Inventory{
-		contents: c,
-		regions:  index(c.Regions, func(v Region) string { return v.Name }),
-		links:    map[[2]string]Link{},
-		labels:   index(c.Labels, func(v Label) string { return v.Name }),
-		models:   index(c.Models, func(v Model) string { return v.Name }),
-		adapters: index(c.Adapters, func(v Adapter) string { return Name{Model: v.Model, Adapter: v.Name}.String() }),
-		services: index(c.Services, func(v Service) string { return v.Name }),
-		classes:  index(c.Classes, func(v Class) string { return v.Name }),
-		teams:    index(c.Teams, func(v Team) string { return v.Name }),
-		digests:  map[string]string{},
+		contents:     c,
+		regions:      index(c.Regions, func(v Region) string { return v.Name }),
+		links:        map[[2]string]Link{},
+		labels:       index(c.Labels, func(v Label) string { return v.Name }),
+		models:       index(c.Models, func(v Model) string { return v.Name }),
+		adapters:     index(c.Adapters, func(v Adapter) string { return Name{Model: v.Model, Adapter: v.Name}.String() }),
+		services:     index(c.Services, func(v Service) string { return v.Name }),
+		classes:      index(c.Classes, func(v Class) string { return v.Name }),
+		teams:        index(c.Teams, func(v Team) string { return v.Name }),
+		teamByDigest: map[string]string{},
 	}
 	for _, l := range c.Links {
 		inv.links[[2]string{l.From, l.To}] = l
 		inv.links[[2]string{l.To, l.From}] = l
 	}
 	for _, t := range c.Teams {
-		inv.digests[t.CredentialDigest] = t.Name
+		inv.teamByDigest[t.CredentialDigest] = t.Name
 	}
 	if faults := check(inv); len(faults) > 0 {
 		return nil, faults
@@ -51,7 +52,7 @@
 	return m
 }
 
-// Contents returns everything that the inventory holds.
+// Contents returns the complete contents of the inventory.
 func (inv *Inventory) Contents() Contents { return inv.contents }
 
 // Rules returns the operators' rules.
@@ -81,7 +82,7 @@
 	return m, ok
 }
 
-// Adapter returns the adapter of the model; one without an entry of its own has no size and no bounds.
+// Adapter returns the adapter of the model; one that only the model lists has no size and no region bounds.
 func (inv *Inventory) Adapter(model, adapter string) (Adapter, bool) {
 	m, ok := inv.models[model]
 	if !ok || !slices.Contains(m.Adapters, adapter) {
@@ -94,7 +95,8 @@
 	return Adapter{Model: model, Name: adapter}, true
 }
 
-// Resolve returns the parts of a name that a caller asks for; a name that is not defined returns *UnknownNameError.
+// Resolve returns the parts of a name that a caller requests. It returns *UnknownNameError for a name that is not
+// defined, and for one with a version, since callers cannot choose a version.
 func (inv *Inventory) Resolve(name string) (Name, error) {
 	n := ParseName(name)
 	if n.Version != "" {
@@ -132,7 +134,7 @@
 
 // TeamByCredential returns the team whose token has the SHA-256 digest, in lower-case hexadecimal.
 func (inv *Inventory) TeamByCredential(digest string) (Team, bool) {
-	name, ok := inv.digests[digest]
+	name, ok := inv.teamByDigest[digest]
 	if !ok {
 		return Team{}, false
 	}
@@ -165,7 +167,7 @@
 	return names
 }
 
-// WithRules returns an inventory with other rules; invalid rules return Faults.
+// WithRules returns a copy of the inventory with other rules, or Faults if they are invalid.
 func (inv *Inventory) WithRules(r Rules) (*Inventory, error) {
 	c := inv.contents
 	c.Rules = r
--- a/inventory/name.go
+++ b/inventory/name.go
@@ -8,21 +8,22 @@
 	versionSeparator = "@"
 )
 
-// Name is what a caller asks for or an engine holds: MODEL, MODEL:ADAPTER or MODEL@VERSION.
+// Name identifies a model, an adapter or a version, as requested by callers or held by engines: MODEL, MODEL:ADAPTER or
+// MODEL@VERSION.
 type Name struct {
 	Model   string
 	Adapter string
 	Version string
 }
 
-// ParseName returns the parts of a name; a part that is not there is empty.
+// ParseName returns the parts of a name; an absent part is empty.
 func ParseName(s string) Name {
 	model, version, _ := strings.Cut(s, versionSeparator)
 	model, adapter, _ := strings.Cut(model, adapterSeparator)
 	return Name{Model: model, Adapter: adapter, Version: version}
 }
 
-// String returns the name as it is written.
+// String returns the name in the form that ParseName reads.
 func (n Name) String() string {
 	s := n.Model
 	if n.Adapter != "" {
@@ -34,7 +35,7 @@
 	return s
 }
 
-// Served returns the name without its version, as callers ask for it.
+// Served returns the name without its version, as callers request it.
 func (n Name) Served() string { return n.WithVersion("").String() }
 
 // WithVersion returns the name with another version.
--- a/inventory/patch_test.go
+++ b/inventory/patch_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestWithPatchAgainstMap patches the labels of an inventory and compares them with a map that is changed alike.
+// TestWithPatchAgainstMap patches the labels of an inventory and compares them with a map as the reference model.
 func TestWithPatchAgainstMap(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	label := rapid.Custom(func(t *rapid.T) Label {
--- a/inventory/types.go
+++ b/inventory/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ServiceKind tells model engines from plain services.
+// ServiceKind distinguishes model engines from plain services.
 type ServiceKind int
 
 // Kinds of services.
@@ -11,7 +11,7 @@
 	KindPlain
 )
 
-// Region is a place with failure domains of its own.
+// Region is a site with its own failure domains.
 type Region struct {
 	Name                  string
 	FailureDomains        []string
@@ -27,7 +27,7 @@
 	CostPerGigabyte float64
 }
 
-// Label marks data and names the regions in which it may be handled.
+// Label marks data and lists the regions in which it may be processed.
 type Label struct {
 	Name           string
 	AllowedRegions []string
@@ -37,14 +37,14 @@
 type Model struct {
 	Name     string
 	Versions []string
-	// Version is the one in force; if it is empty, engines may hold any.
+	// Version is the version in force; if it is empty, engines may hold any version.
 	Version        string
 	Adapters       []string
 	AllowedRegions []string
 	WeightBytes    int64
 }
 
-// Adapter gives the size of a model's adapter and bounds its regions; no AllowedRegions adds no bound.
+// Adapter gives the size and the allowed regions of a model's adapter; no AllowedRegions adds no restriction.
 type Adapter struct {
 	Model          string
 	Name           string
@@ -63,7 +63,7 @@
 	MinEndpointsPerModel int
 }
 
-// Class is a kind of request with its patience; lower priorities are served first.
+// Class is a request class with the patience of its requests; lower priorities are served first.
 type Class struct {
 	Name       string
 	Priority   int
@@ -84,14 +84,14 @@
 	Weight           float64
 }
 
-// Objective weighs cost, latency and work sent away against one another.
+// Objective holds the weights of cost, latency and work forwarded to other regions.
 type Objective struct {
 	Cost    float64
 	Latency float64
 	Away    float64
 }
 
-// Rules are the operators' choices on top of what they own.
+// Rules are the operators' settings for placement, routing and retries.
 type Rules struct {
 	Objective                 Objective
 	RetryBudget               float64
@@ -101,7 +101,7 @@
 	WeightStoreBytesPerSecond int64
 }
 
-// Contents is everything that an inventory holds, before it is checked.
+// Contents is the unvalidated contents of an inventory.
 type Contents struct {
 	Regions  []Region
 	Links    []Link
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,6 +1,8 @@
-// Package membership keeps what is known of endpoints, of the system's own entries and of other regions.
+// Package membership holds the known state of endpoints, of the system's own entries and of other regions.
 //
-// Endpoints announce themselves under short leases; a higher incarnation or,
-// within it, a higher sequence replaces what was known. The package is pure:
-// the time is passed in, and nothing in it blocks.
+// Endpoints announce themselves under short leases. An announcement with a
+// higher incarnation or, within the same incarnation, a higher sequence
+// replaces the known state. Instances exchange their state by gossip: Share
+// holds the items of all origins and sends differences only. The package does
+// no input or output: the time is passed in, and nothing in it blocks.
 package membership
--- a/membership/entry.go
+++ b/membership/entry.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Entry is one of the system's own instances that serve callers.
+// Entry is the state of one of the system's own instances that serve callers.
 type Entry struct {
 	Name            string
 	Region          string
@@ -19,11 +19,11 @@
 	// Incarnation grows at each start of the entry, and Sequence with each advert of one incarnation.
 	Incarnation int64
 	Sequence    int64
-	// LedgerEpoch is the epoch of the ledger of the region, as the entry's replica knows it.
+	// LedgerEpoch is the epoch of the region's ledger according to the entry's replica.
 	LedgerEpoch string
 }
 
-// newer reports whether e replaces what is known as old.
+// newer reports whether e replaces the known state old.
 func (e Entry) newer(old Entry) bool {
 	if e.Incarnation != old.Incarnation {
 		return e.Incarnation > old.Incarnation
@@ -31,7 +31,7 @@
 	return e.Sequence > old.Sequence
 }
 
-// Summary is what other regions need to know of one service of a region.
+// Summary is the total capacity and load of one service of a region, as sent to other regions.
 type Summary struct {
 	Region          string
 	Service         string
@@ -45,34 +45,34 @@
 	At              time.Time
 }
 
-// Entries holds the entries that were heard of; it is not safe for concurrent use.
+// Entries holds the known entries; it is not safe for concurrent use.
 type Entries struct {
-	entries map[string]Entry
-	heard   map[string]time.Time
-	ttl     time.Duration
+	entries  map[string]Entry
+	lastSeen map[string]time.Time
+	ttl      time.Duration
 }
 
-// NewEntries returns an empty set that forgets an entry not heard of for ttl.
+// NewEntries returns an empty set in which an entry without a newer advert for ttl expires.
 func NewEntries(ttl time.Duration) *Entries {
-	return &Entries{entries: map[string]Entry{}, heard: map[string]time.Time{}, ttl: ttl}
+	return &Entries{entries: map[string]Entry{}, lastSeen: map[string]time.Time{}, ttl: ttl}
 }
 
-// Hear notes an advert at a time; one that is not newer than what was heard within the time to live is dropped, so that
-// adverts that peers repeat neither undo a later one nor keep a dead entry alive.
+// Hear updates an entry from an advert received at the given time. An advert that is not newer than one received within
+// the time to live is ignored, so that adverts repeated by peers neither undo a later one nor keep a dead entry alive.
 func (s *Entries) Hear(at time.Time, e Entry) {
-	heard, ok := s.heard[e.Name]
-	if ok && at.Sub(heard) <= s.ttl && !e.newer(s.entries[e.Name]) {
+	seen, ok := s.lastSeen[e.Name]
+	if ok && at.Sub(seen) <= s.ttl && !e.newer(s.entries[e.Name]) {
 		return
 	}
 	s.entries[e.Name] = e
-	s.heard[e.Name] = at
+	s.lastSeen[e.Name] = at
 }
 
-// Live returns the entries heard of within the time to live, in the order of their names.
+// Live returns the entries whose last accepted advert is within the time to live, ordered by name.
 func (s *Entries) Live(now time.Time) []Entry {
 	var live []Entry
 	for name, e := range s.entries {
-		if now.Sub(s.heard[name]) <= s.ttl {
+		if now.Sub(s.lastSeen[name]) <= s.ttl {
 			live = append(live, e)
 		}
 	}
@@ -80,7 +80,7 @@
 	return live
 }
 
-// Summarize returns one summary for each service of the region's endpoints, leaving ones left out.
+// Summarize returns one summary for each service of the region's endpoints, without those that are leaving.
 func Summarize(now time.Time, region string, endpoints []Endpoint) []Summary {
 	byService := map[string]*Summary{}
 	for _, e := range endpoints {
--- a/membership/entry_test.go
+++ b/membership/entry_test.go
@@ -20,9 +20,9 @@
 	}{
 		{"a repeated older advert does not undo leaving", advert(1, 4, false), time.Second, true, true},
 		{"the same advert does not keep the entry alive", advert(1, 5, true), 2 * time.Second, true, false},
-		{"a newer advert counts", advert(1, 6, false), 2 * time.Second, false, true},
-		{"a restarted entry counts", advert(2, 1, false), 2 * time.Second, false, true},
-		{"after the time to live any advert counts", advert(0, 1, false), ttl + time.Second, false, true},
+		{"a newer advert is accepted", advert(1, 6, false), 2 * time.Second, false, true},
+		{"an advert of a restarted entry is accepted", advert(2, 1, false), 2 * time.Second, false, true},
+		{"after the time to live any advert is accepted", advert(0, 1, false), ttl + time.Second, false, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Fact is one thing that an entry tells: exactly one of its fields is set.
+// Fact is one published item of an entry; exactly one of its fields is set.
 type Fact struct {
 	Endpoint *Endpoint
 	Entry    *Entry
@@ -13,13 +13,13 @@
 	Load     *EndpointLoad
 }
 
-// EndpointLoad is a later load of an endpoint than the one with which it was told.
+// EndpointLoad is a load of an endpoint that is newer than the one in its published state.
 type EndpointLoad struct {
 	Sequence int64
 	Load     Load
 }
 
-// WithLoad returns the endpoint with a load that was reported later.
+// WithLoad returns the endpoint with the load l, or unchanged if l is not newer.
 func (e Endpoint) WithLoad(l EndpointLoad) Endpoint {
 	if l.Sequence > e.Sequence {
 		e.Sequence, e.Load = l.Sequence, l.Load
@@ -27,20 +27,21 @@
 	return e
 }
 
-// Differs reports whether e says something else than old beside its load and its sequence.
+// Differs reports whether e differs from old in a field other than name, region, load, cache state and sequence.
 func (e Endpoint) Differs(old Endpoint) bool {
 	return e.Incarnation != old.Incarnation || e.Address != old.Address || e.Service != old.Service ||
-		e.Slots != old.Slots || e.Leaving != old.Leaving || e.FailureDomain != old.FailureDomain || !slices.Equal(e.Models, old.Models) ||
-		!slices.Equal(e.Versions, old.Versions) || !slices.Equal(e.Loading, old.Loading) || e.OrderTerm != old.OrderTerm || e.OrderSequence != old.OrderSequence
+		e.Slots != old.Slots || e.Leaving != old.Leaving || e.FailureDomain != old.FailureDomain ||
+		!slices.Equal(e.Models, old.Models) || !slices.Equal(e.Versions, old.Versions) ||
+		!slices.Equal(e.Loading, old.Loading) || e.OrderTerm != old.OrderTerm || e.OrderSequence != old.OrderSequence
 }
 
-// Differs reports whether e says something else than old beside its sequence.
+// Differs reports whether e differs from old in any field other than the sequence.
 func (e Entry) Differs(old Entry) bool {
 	e.Sequence = old.Sequence
 	return e != old
 }
 
-// NewestEndpoints returns the newest announcement of each endpoint, in the order of their names.
+// NewestEndpoints returns the newest announcement of each endpoint, ordered by name.
 func NewestEndpoints(endpoints []Endpoint) []Endpoint {
 	newest := map[string]Endpoint{}
 	for _, e := range endpoints {
@@ -48,10 +49,10 @@
 			newest[e.Name] = e
 		}
 	}
-	return ordered(newest, byName)
+	return sortedValues(newest, byName)
 }
 
-// NewestEntries returns the newest advert of each entry, in the order of their names.
+// NewestEntries returns the newest advert of each entry, ordered by name.
 func NewestEntries(entries []Entry) []Entry {
 	newest := map[string]Entry{}
 	for _, e := range entries {
@@ -59,10 +60,10 @@
 			newest[e.Name] = e
 		}
 	}
-	return ordered(newest, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
+	return sortedValues(newest, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// NewestSummaries returns the newest summary of each service of each region, in the order of region and service.
+// NewestSummaries returns the newest summary of each service of each region, ordered by region and service.
 func NewestSummaries(summaries []Summary) []Summary {
 	newest := map[string]Summary{}
 	for _, s := range summaries {
@@ -71,10 +72,10 @@
 			newest[k] = s
 		}
 	}
-	return ordered(newest, func(a, b Summary) int { return strings.Compare(a.Region+"/"+a.Service, b.Region+"/"+b.Service) })
+	return sortedValues(newest, func(a, b Summary) int { return strings.Compare(a.Region+"/"+a.Service, b.Region+"/"+b.Service) })
 }
 
-func ordered[T any](values map[string]T, compare func(a, b T) int) []T {
+func sortedValues[T any](values map[string]T, compare func(a, b T) int) []T {
 	list := make([]T, 0, len(values))
 	for _, v := range values {
 		list = append(list, v)
--- a/membership/share.go
+++ b/membership/gossip.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// originMemory is how long a silent origin is remembered, so that a late message does not revive it.
-const originMemory = 10 * time.Minute
+// originRetention is how long an expired origin is kept, so that a late message does not revive it.
+const originRetention = 10 * time.Minute
 
-// maxDropped is the most dropped items that an origin keeps to tell those who lag behind.
-const maxDropped = 512
+// maxDroppedItems is the maximum number of dropped items that an origin keeps for partners that lag behind.
+const maxDroppedItems = 512
 
-// Mark says how far an origin has come: a restart raises Incarnation, a change Version, and each sign of life Beat.
+// Mark is the version of an origin's state: a restart raises Incarnation, a change Version, and each heartbeat Beat.
 type Mark struct {
 	Origin      string
 	Incarnation int64
@@ -21,7 +21,7 @@
 	Beat        uint64
 }
 
-// Item is one thing that an origin tells, under the version at which it last changed.
+// Item is one published value of an origin, with the version at which it last changed.
 type Item[T any] struct {
 	Key     string
 	Version uint64
@@ -29,7 +29,7 @@
 	Value   T
 }
 
-// Delta is what an origin changed after the version Since; a full one replaces everything that was known of it.
+// Delta holds the changes of an origin after the version Since; a full delta replaces the known state of the origin.
 type Delta[T any] struct {
 	Mark  Mark
 	Since uint64
@@ -37,37 +37,40 @@
 	Items []Item[T]
 }
 
-// origin is what is known of one origin.
+// origin is the known state of one origin.
 type origin[T any] struct {
 	mark  Mark
 	items map[string]Item[T]
-	// floor is the version up to which dropped items are forgotten.
-	floor uint64
-	heard time.Time
+	// prunedVersion is the version up to which dropped items may be deleted; older marks get a full delta.
+	prunedVersion uint64
+	// lastSeen is when the origin was first known in this incarnation or its beat last rose.
+	lastSeen time.Time
 }
 
-// Share spreads what each origin tells to all, by differences, through any partners; it is not safe for concurrent use.
+// Share replicates the items of each origin to all instances by delta gossip over any partners; it is not safe for
+// concurrent use.
 //
-// An origin vouches for all its items by one beat. What it told is believed
-// while its beat rises; repeats of an old beat by others do not keep it alive.
+// One heartbeat counter covers all items of an origin. The items are considered
+// live while the counter rises; an old count repeated by others does not keep the
+// origin alive.
 type Share[T any] struct {
 	self    *origin[T]
 	origins map[string]*origin[T]
 }
 
-// NewShare returns a share of the origin self, whose incarnation is higher than that of its earlier starts.
+// NewShare returns the share of the origin self, whose incarnation must be higher than at its earlier starts.
 func NewShare[T any](now time.Time, self string, incarnation int64) *Share[T] {
-	own := &origin[T]{mark: Mark{Origin: self, Incarnation: incarnation}, items: map[string]Item[T]{}, heard: now}
+	own := &origin[T]{mark: Mark{Origin: self, Incarnation: incarnation}, items: map[string]Item[T]{}, lastSeen: now}
 	return &Share[T]{self: own, origins: map[string]*origin[T]{self: own}}
 }
 
-// Put tells a value under a key.
+// Put publishes a value under a key.
 func (s *Share[T]) Put(key string, value T) {
 	s.self.mark.Version++
 	s.self.items[key] = Item[T]{Key: key, Version: s.self.mark.Version, Value: value}
 }
 
-// Drop takes back what was told under a key.
+// Drop withdraws the value published under a key.
 func (s *Share[T]) Drop(key string) {
 	if item, ok := s.self.items[key]; !ok || item.Dropped {
 		return
@@ -77,13 +80,13 @@
 	s.self.prune()
 }
 
-// Told returns what the own origin tells under a key.
+// Told returns the value that the own origin publishes under a key.
 func (s *Share[T]) Told(key string) (value T, ok bool) {
 	item, ok := s.self.items[key]
 	return item.Value, ok && !item.Dropped
 }
 
-// Keys returns the keys that the own origin tells, in order.
+// Keys returns the keys that the own origin publishes, in order.
 func (s *Share[T]) Keys() []string {
 	var keys []string
 	for key, item := range s.self.items {
@@ -95,13 +98,13 @@
 	return keys
 }
 
-// Beat tells that the own origin is alive.
+// Beat raises the heartbeat counter of the own origin.
 func (s *Share[T]) Beat(now time.Time) {
 	s.self.mark.Beat++
-	s.self.heard = now
+	s.self.lastSeen = now
 }
 
-// prune forgets the oldest dropped items if there are too many.
+// prune deletes the older half of the dropped items if there are more than maxDroppedItems.
 func (o *origin[T]) prune() {
 	var dropped []Item[T]
 	for _, item := range o.items {
@@ -109,13 +112,13 @@
 			dropped = append(dropped, item)
 		}
 	}
-	if len(dropped) <= maxDropped {
+	if len(dropped) <= maxDroppedItems {
 		return
 	}
 	slices.SortFunc(dropped, byVersion)
 	for _, item := range dropped[:len(dropped)/2] {
 		delete(o.items, item.Key)
-		o.floor = item.Version
+		o.prunedVersion = item.Version
 	}
 }
 
@@ -130,23 +133,23 @@
 	}
 }
 
-// Marks returns how far each origin that was heard within ttl is known, in the order of their names.
+// Marks returns the known mark of each origin that is live within ttl, ordered by name.
 func (s *Share[T]) Marks(now time.Time, ttl time.Duration) []Mark {
 	marks := make([]Mark, 0, len(s.origins))
 	for _, name := range slices.Sorted(maps.Keys(s.origins)) {
-		if o := s.origins[name]; o.tells(now, ttl) {
+		if o := s.origins[name]; o.live(now, ttl) {
 			marks = append(marks, o.mark)
 		}
 	}
 	return marks
 }
 
-// tells reports whether the origin was heard within ttl.
+// live reports whether the origin was last seen within ttl.
 //
-// A silent origin is kept in memory alone, so that what others repeat of it does not revive it.
-func (o *origin[T]) tells(now time.Time, ttl time.Duration) bool { return now.Sub(o.heard) <= ttl }
+// An expired origin is kept but not sent, so that old state repeated by others does not revive it.
+func (o *origin[T]) live(now time.Time, ttl time.Duration) bool { return now.Sub(o.lastSeen) <= ttl }
 
-// Missing returns what a partner with the marks does not know of the origins that were heard within ttl.
+// Missing returns the deltas that a partner with the given marks lacks, for the origins that are live within ttl.
 func (s *Share[T]) Missing(now time.Time, ttl time.Duration, marks []Mark) []Delta[T] {
 	known := map[string]Mark{}
 	for _, m := range marks {
@@ -155,23 +158,23 @@
 	var deltas []Delta[T]
 	for _, name := range slices.Sorted(maps.Keys(s.origins)) {
 		o := s.origins[name]
-		if !o.tells(now, ttl) {
+		if !o.live(now, ttl) {
 			continue
 		}
-		if d, ok := o.missing(known[name]); ok {
+		if d, ok := o.deltaSince(known[name]); ok {
 			deltas = append(deltas, d)
 		}
 	}
 	return deltas
 }
 
-// missing returns what changed after a mark; ok is false if the mark is as far or farther.
-func (o *origin[T]) missing(m Mark) (d Delta[T], ok bool) {
+// deltaSince returns the changes after a mark; ok is false if the mark is as new or newer.
+func (o *origin[T]) deltaSince(m Mark) (d Delta[T], ok bool) {
 	same := m.Incarnation == o.mark.Incarnation
 	if o.mark.Incarnation < m.Incarnation || (same && o.mark.Version <= m.Version && o.mark.Beat <= m.Beat) {
 		return d, false
 	}
-	d = Delta[T]{Mark: o.mark, Since: m.Version, Full: !same || m.Version < o.floor}
+	d = Delta[T]{Mark: o.mark, Since: m.Version, Full: !same || m.Version < o.prunedVersion}
 	if d.Full {
 		d.Since = 0
 	}
@@ -184,7 +187,8 @@
 	return d, true
 }
 
-// Learn takes what a partner told; what is older than what is known, or does not follow on it, is left out.
+// Learn applies deltas from a partner. The items of a delta that is not newer than the known state of its origin, or
+// that leaves a gap after it, are ignored.
 func (s *Share[T]) Learn(now time.Time, deltas []Delta[T]) {
 	for _, d := range deltas {
 		if d.Mark.Origin == s.self.mark.Origin {
@@ -195,28 +199,29 @@
 		case o == nil || d.Mark.Incarnation > o.mark.Incarnation:
 			s.replace(now, d)
 		case d.Mark.Incarnation == o.mark.Incarnation:
-			o.learn(now, d)
+			o.merge(now, d)
 		}
 	}
 }
 
-// replace takes all of an origin that is new or has started again.
+// replace installs the full state of an origin that is new or has restarted; other deltas are ignored.
 func (s *Share[T]) replace(now time.Time, d Delta[T]) {
 	if !d.Full {
 		return
 	}
-	o := &origin[T]{mark: d.Mark, items: map[string]Item[T]{}, floor: d.Mark.Version, heard: now}
+	o := &origin[T]{mark: d.Mark, items: map[string]Item[T]{}, prunedVersion: d.Mark.Version, lastSeen: now}
 	for _, item := range d.Items {
 		o.items[item.Key] = item
 	}
 	s.origins[d.Mark.Origin] = o
 }
 
-func (o *origin[T]) learn(now time.Time, d Delta[T]) {
+// merge applies a delta of the same incarnation.
+func (o *origin[T]) merge(now time.Time, d Delta[T]) {
 	if d.Mark.Version > o.mark.Version && (d.Full || d.Since <= o.mark.Version) {
 		if d.Full {
 			o.items = map[string]Item[T]{}
-			o.floor = d.Mark.Version
+			o.prunedVersion = d.Mark.Version
 		}
 		for _, item := range d.Items {
 			if item.Version > o.mark.Version || d.Full {
@@ -228,25 +233,25 @@
 	}
 	if d.Mark.Beat > o.mark.Beat {
 		o.mark.Beat = d.Mark.Beat
-		o.heard = now
+		o.lastSeen = now
 	}
 }
 
-// Forget drops the items of origins that were silent for ttl, and origins that were silent for long.
+// Forget deletes the origins that were last seen longer ago than both ttl and originRetention.
 func (s *Share[T]) Forget(now time.Time, ttl time.Duration) {
 	for name, o := range s.origins {
-		silence := now.Sub(o.heard)
-		if o != s.self && silence > max(ttl, originMemory) {
+		age := now.Sub(o.lastSeen)
+		if o != s.self && age > max(ttl, originRetention) {
 			delete(s.origins, name)
 		}
 	}
 }
 
-// Live returns the origins whose beat has risen within ttl, in the order of their names, the own one included.
+// Live returns the origins last seen within ttl, ordered by name, and always the own one.
 func (s *Share[T]) Live(now time.Time, ttl time.Duration) []string {
 	var live []string
 	for name, o := range s.origins {
-		if o == s.self || now.Sub(o.heard) <= ttl {
+		if o == s.self || now.Sub(o.lastSeen) <= ttl {
 			live = append(live, name)
 		}
 	}
@@ -254,10 +259,10 @@
 	return live
 }
 
-// Each calls f with what each live origin tells, in no order.
+// Each calls f for each item of the own origin and of the origins that are live within ttl, in no particular order.
 func (s *Share[T]) Each(now time.Time, ttl time.Duration, f func(origin, key string, value T)) {
 	for name, o := range s.origins {
-		if o != s.self && now.Sub(o.heard) > ttl {
+		if o != s.self && now.Sub(o.lastSeen) > ttl {
 			continue
 		}
 		for key, item := range o.items {
--- a/membership/late_test.go
+++ b/membership/gossip_order_test.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// TestLateDeltas gives an entry what an origin told out of its order; the random test reaches these orders too rarely.
+// TestLateDeltas applies the deltas of an origin out of order: a delta that leaves a gap must not be applied, and an
+// older one must not undo a later one. TestShareUnderFaults reaches these orders too rarely.
 func TestLateDeltas(t *testing.T) {
 	start := time.Unix(1000, 0)
 	origin := NewShare[int](start, "origin", 1)
-	told := func(since uint64) []Delta[int] {
+	deltasSince := func(since uint64) []Delta[int] {
 		return origin.Missing(start, shareTTL, []Mark{{Origin: "origin", Incarnation: 1, Version: since}})
 	}
 	origin.Put("a", 1)
 	origin.Beat(start)
 	full := origin.Missing(start, shareTTL, nil)
 	origin.Put("b", 2)
-	second := told(1)
+	second := deltasSince(1)
 	origin.Put("a", 3)
-	third := told(2)
+	third := deltasSince(2)
 	tests := []struct {
 		name   string
 		deltas [][]Delta[int]
 		a, b   int
 	}{
 		{"in order", [][]Delta[int]{full, second, third}, 3, 2},
-		{"one that does not follow is left out", [][]Delta[int]{full, third}, 1, 0},
-		{"and does not hide what lies between", [][]Delta[int]{full, third, second, third}, 3, 2},
-		{"an older one changes nothing", [][]Delta[int]{full, second, third, full, second}, 3, 2},
+		{"a delta after a gap is ignored", [][]Delta[int]{full, third}, 1, 0},
+		{"an ignored delta does not hide the ones before it", [][]Delta[int]{full, third, second, third}, 3, 2},
+		{"an older delta changes nothing", [][]Delta[int]{full, second, third, full, second}, 3, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -38,16 +39,16 @@
 			got := map[string]int{}
 			s.Each(start, shareTTL, func(_, key string, value int) { got[key] = value })
 			if got["a"] != tt.a || got["b"] != tt.b {
-				t.Errorf("the entry believes %v, want a %d and b %d", got, tt.a, tt.b)
+				t.Errorf("the entry has %v, want a %d and b %d", got, tt.a, tt.b)
 			}
 		})
 	}
-	t.Run("a repeated beat keeps no origin alive", func(t *testing.T) {
+	t.Run("a repeated beat does not keep an origin alive", func(t *testing.T) {
 		s := NewShare[int](start, "entry", 1)
 		s.Learn(start, full)
 		s.Learn(start.Add(shareTTL), full)
 		if live := s.Live(start.Add(shareTTL+time.Second), shareTTL); len(live) != 1 {
-			t.Errorf("alive are %v", live)
+			t.Errorf("live origins are %v", live)
 		}
 	})
 }
--- a/membership/share_test.go
+++ b/membership/gossip_test.go
@@ -13,20 +13,23 @@
 
 const shareTTL = 3 * time.Second
 
-// shares is a set of entries that spread values through messages that may be lost, doubled and late.
-type shares struct {
-	now    time.Time
-	names  []string
-	shares map[string]*Share[int]
-	told   map[string]map[string]int
-	starts int64
-	sent   []func()
-	// highest is the mark to which each entry has come for each origin.
-	highest map[string]Mark
+// shareCluster is a set of entries that exchange values by messages that may be lost, duplicated and delayed.
+type shareCluster struct {
+	now       time.Time
+	names     []string
+	shares    map[string]*Share[int]
+	published map[string]map[string]int
+	starts    int64
+	sent      []func()
+	// highestMark is the newest mark of each origin at each entry, under ENTRY<ORIGIN.
+	highestMark map[string]Mark
 }
 
-func newShares(n int) *shares {
-	m := &shares{now: time.Unix(1000, 0), shares: map[string]*Share[int]{}, told: map[string]map[string]int{}, highest: map[string]Mark{}}
+func newShareCluster(n int) *shareCluster {
+	m := &shareCluster{
+		now: time.Unix(1000, 0), shares: map[string]*Share[int]{}, published: map[string]map[string]int{},
+		highestMark: map[string]Mark{},
+	}
 	for i := range n {
 		m.names = append(m.names, fmt.Sprint("entry-", i))
 		m.restart(m.names[i])
@@ -34,17 +37,17 @@
 	return m
 }
 
-func (m *shares) restart(name string) {
+func (m *shareCluster) restart(name string) {
 	m.starts++
 	m.shares[name] = NewShare[int](m.now, name, m.starts)
-	m.told[name] = map[string]int{}
+	m.published[name] = map[string]int{}
 	for _, origin := range m.names {
-		delete(m.highest, name+"<"+origin)
+		delete(m.highestMark, name+"<"+origin)
 	}
 }
 
-// ask sends the marks of one entry to another, whose answer comes later.
-func (m *shares) ask(from, to string) {
+// ask queues the marks of one entry for another, whose answer is queued in turn.
+func (m *shareCluster) ask(from, to string) {
 	marks := m.shares[from].Marks(m.now, shareTTL)
 	m.sent = append(m.sent, func() {
 		deltas := m.shares[to].Missing(m.now, shareTTL, marks)
@@ -52,23 +55,23 @@
 	})
 }
 
-// check fails if an entry went back in what it knows of an origin.
-func (m *shares) check(t *rapid.T) {
+// check fails if an entry went back to an older mark of an origin.
+func (m *shareCluster) check(t *rapid.T) {
 	for _, name := range m.names {
 		for _, mark := range m.shares[name].Marks(m.now, shareTTL) {
-			before := m.highest[name+"<"+mark.Origin]
+			before := m.highestMark[name+"<"+mark.Origin]
 			older := mark.Incarnation < before.Incarnation ||
 				(mark.Incarnation == before.Incarnation && (mark.Version < before.Version || mark.Beat < before.Beat))
 			if older {
 				t.Fatalf("%s went from %+v to %+v", name, before, mark)
 			}
-			m.highest[name+"<"+mark.Origin] = mark
+			m.highestMark[name+"<"+mark.Origin] = mark
 		}
 	}
 }
 
-// seen returns what an entry believes.
-func (m *shares) seen(name string) map[string]map[string]int {
+// values returns the live values at an entry by origin and key.
+func (m *shareCluster) values(name string) map[string]map[string]int {
 	seen := map[string]map[string]int{}
 	m.shares[name].Each(m.now, shareTTL, func(origin, key string, value int) {
 		if seen[origin] == nil {
@@ -79,9 +82,11 @@
 	return seen
 }
 
+// TestShareUnderFaults checks that entries never go back to an older mark under loss, duplication, delay and restarts,
+// that they agree afterwards, and that the values of a stopped entry expire.
 func TestShareUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newShares(rapid.IntRange(2, 4).Draw(t, "entries"))
+		m := newShareCluster(rapid.IntRange(2, 4).Draw(t, "entries"))
 		entry := rapid.SampledFrom(m.names)
 		key := rapid.SampledFrom([]string{"a", "b", "c"})
 		run := func(t *rapid.T, remove bool) {
@@ -99,12 +104,12 @@
 			"put": func(t *rapid.T) {
 				e, k, v := entry.Draw(t, "entry"), key.Draw(t, "key"), rapid.IntRange(0, 9).Draw(t, "value")
 				m.shares[e].Put(k, v)
-				m.told[e][k] = v
+				m.published[e][k] = v
 			},
 			"drop": func(t *rapid.T) {
 				e, k := entry.Draw(t, "entry"), key.Draw(t, "key")
 				m.shares[e].Drop(k)
-				delete(m.told[e], k)
+				delete(m.published[e], k)
 			},
 			"beat":      func(t *rapid.T) { m.shares[entry.Draw(t, "entry")].Beat(m.now) },
 			"ask":       func(t *rapid.T) { m.ask(entry.Draw(t, "from"), entry.Draw(t, "to")) },
@@ -121,13 +126,13 @@
 			},
 			"": m.check,
 		})
-		m.converge(t)
-		m.silence(t)
+		m.checkConvergence(t)
+		m.checkExpiry(t)
 	})
 }
 
-// converge lets all entries exchange without loss and checks that they agree.
-func (m *shares) converge(t *rapid.T) {
+// checkConvergence exchanges the deltas of all entries without loss and checks that they agree.
+func (m *shareCluster) checkConvergence(t *rapid.T) {
 	m.sent = nil
 	for _, name := range m.names {
 		m.shares[name].Beat(m.now)
@@ -145,20 +150,20 @@
 		}
 	}
 	want := map[string]map[string]int{}
-	for origin, values := range m.told {
+	for origin, values := range m.published {
 		if len(values) > 0 {
 			want[origin] = maps.Clone(values)
 		}
 	}
 	for _, name := range m.names {
-		if diff := cmp.Diff(want, m.seen(name)); diff != "" {
-			t.Fatalf("%s believes otherwise (-told +seen):\n%s", name, diff)
+		if diff := cmp.Diff(want, m.values(name)); diff != "" {
+			t.Fatalf("%s has other values (-published +received):\n%s", name, diff)
 		}
 	}
 }
 
-// silence stops the first entry and checks that the others stop believing it, although they go on to exchange.
-func (m *shares) silence(t *rapid.T) {
+// checkExpiry stops the first entry and checks that its values expire at the others, although these go on exchanging.
+func (m *shareCluster) checkExpiry(t *rapid.T) {
 	silent := m.names[0]
 	for range 8 {
 		m.now = m.now.Add(shareTTL / 4)
@@ -170,8 +175,8 @@
 		}
 	}
 	for _, name := range m.names[1:] {
-		if _, ok := m.seen(name)[silent]; ok {
-			t.Fatalf("%s still believes %s", name, silent)
+		if _, ok := m.values(name)[silent]; ok {
+			t.Fatalf("%s still has values of %s", name, silent)
 		}
 	}
 }
@@ -186,7 +191,7 @@
 		load[chosen[1]]++
 		fewer := Rendezvous(key, names[:4], 2)
 		if !slices.Contains(chosen, "e") && !slices.Equal(chosen, fewer) {
-			t.Errorf("%s moved from %v to %v although neither has gone", key, chosen, fewer)
+			t.Errorf("%s moved from %v to %v although neither name was removed", key, chosen, fewer)
 		}
 	}
 	for name, n := range load {
--- a/membership/rendezvous.go
+++ b/membership/rendezvous.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous returns the n names with the highest weight for the key (Thaler and Ravishankar, Using Name-Based Mappings to
-// Increase Hit Rates, 1998), so that a name that comes or goes moves only the keys that it has.
+// Rendezvous returns the n names with the highest weight for the key by rendezvous hashing (Thaler and Ravishankar,
+// Using Name-Based Mappings to Increase Hit Rates, 1998). Adding or removing a name moves only the keys assigned to it.
 func Rendezvous(key string, names []string, n int) []string {
 	sorted := slices.Clone(names)
 	slices.SortFunc(sorted, func(a, b string) int {
--- a/membership/table.go
+++ b/membership/table.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// record is an endpoint with the end of its lease.
+// record is an endpoint with the expiry time of its lease.
 type record struct {
 	endpoint Endpoint
 	expires  time.Time
-	// whole is the sequence of the last whole announcement.
-	whole int64
+	// fullSequence is the sequence of the last full announcement.
+	fullSequence int64
 }
 
-// tombstoneTime is how long the table knows an endpoint whose lease has ended, so that a late message does not revive it.
-const tombstoneTime = 10 * time.Minute
+// tombstoneRetention is how long the table keeps the last sequence of an endpoint whose lease has expired, so that a
+// late message does not revive it.
+const tombstoneRetention = 10 * time.Minute
 
-// leavingGrace is how much longer a leaving endpoint is listed, so that an entry that missed this cannot bring it back.
+// leavingGrace is added to the lease of a leaving endpoint, so that an entry that missed the leaving announcement
+// cannot reintroduce the endpoint.
 const leavingGrace = 5 * time.Second
 
-// maxTombstones is the most endpoints without a lease that the table knows.
+// maxTombstones is the maximum number of endpoints without a lease that the table keeps.
 const maxTombstones = 20000
 
 // Table holds the endpoints of one region; it is not safe for concurrent use.
@@ -34,9 +36,9 @@
 	return &Table{records: map[string]record{}, tombstones: map[string]record{}}
 }
 
-// Announce takes an announcement with its lease and reports whether it was newer than what was known.
+// Announce applies an announcement with its lease and reports whether it was newer than the known state.
 //
-// An endpoint whose lease has ended comes back only by a newer announcement.
+// An endpoint whose lease has expired is listed again only after a newer announcement.
 func (t *Table) Announce(now time.Time, e Endpoint, lease time.Duration) bool {
 	old, ok := t.records[e.Name]
 	if !ok {
@@ -49,16 +51,16 @@
 	if e.Leaving {
 		lease += leavingGrace
 	}
-	t.records[e.Name] = record{endpoint: e, expires: now.Add(lease), whole: e.Sequence}
+	t.records[e.Name] = record{endpoint: e, expires: now.Add(lease), fullSequence: e.Sequence}
 	return true
 }
 
-// Renewal is an announcement that says nothing new but, at the most, a load and cache events.
+// Renewal is an announcement that renews the lease and changes nothing except, optionally, the load and cache events.
 type Renewal struct {
 	Name        string
 	Incarnation int64
 	Sequence    int64
-	// Whole is the sequence of the whole announcement that is renewed.
+	// Whole is the sequence of the full announcement that is renewed.
 	Whole int64
 	// Load is nil if it has not changed.
 	Load        *Load
@@ -67,12 +69,12 @@
 	CacheSequence int64
 }
 
-// Renew renews a lease and reports whether the table holds the whole announcement that is renewed; one that is not newer than
-// what is known changes nothing.
+// Renew renews a lease and reports whether the table holds the full announcement that is renewed, under a valid lease
+// and not leaving. A renewal that is not newer than the known state changes nothing.
 func (t *Table) Renew(now time.Time, r Renewal, lease time.Duration) bool {
 	known, ok := t.records[r.Name]
 	e := known.endpoint
-	if !ok || !now.Before(known.expires) || e.Incarnation != r.Incarnation || known.whole != r.Whole || e.Leaving {
+	if !ok || !now.Before(known.expires) || e.Incarnation != r.Incarnation || known.fullSequence != r.Whole || e.Leaving {
 		return false
 	}
 	if r.Sequence <= e.Sequence {
@@ -85,11 +87,11 @@
 	}
 	e.CacheSequence = max(r.CacheSequence, e.CacheSequence+int64(len(e.CacheEvents)))
 	e.CacheEvents = r.CacheEvents
-	t.records[r.Name] = record{endpoint: e, expires: now.Add(lease), whole: known.whole}
+	t.records[r.Name] = record{endpoint: e, expires: now.Add(lease), fullSequence: known.fullSequence}
 	return true
 }
 
-// Expire forgets the endpoints whose lease has ended and returns them in the order of their names.
+// Expire removes the endpoints whose lease has expired and returns them ordered by name.
 func (t *Table) Expire(now time.Time) []Endpoint {
 	var expired []Endpoint
 	for name, r := range t.records {
@@ -98,23 +100,23 @@
 		}
 		delete(t.records, name)
 		expired = append(expired, r.endpoint)
-		t.bury(now, r.endpoint)
+		t.addTombstone(now, r.endpoint)
 	}
-	t.forget(now)
+	t.pruneTombstones(now)
 	slices.SortFunc(expired, byName)
 	return expired
 }
 
-// bury remembers which announcement of an endpoint was the last.
-func (t *Table) bury(now time.Time, e Endpoint) {
+// addTombstone records the incarnation and sequence of an endpoint's last announcement.
+func (t *Table) addTombstone(now time.Time, e Endpoint) {
 	t.tombstones[e.Name] = record{
 		endpoint: Endpoint{Name: e.Name, Incarnation: e.Incarnation, Sequence: e.Sequence},
-		expires:  now.Add(tombstoneTime),
+		expires:  now.Add(tombstoneRetention),
 	}
 }
 
-// forget drops the tombstones whose time is over, and others if there are too many.
-func (t *Table) forget(now time.Time) {
+// pruneTombstones deletes expired tombstones, and arbitrary others while there are more than maxTombstones.
+func (t *Table) pruneTombstones(now time.Time) {
 	for name, r := range t.tombstones {
 		if !now.Before(r.expires) || len(t.tombstones) > maxTombstones {
 			delete(t.tombstones, name)
@@ -122,7 +124,7 @@
 	}
 }
 
-// Endpoints returns the endpoints under lease, leaving ones included, in the order of their names.
+// Endpoints returns the endpoints with a valid lease, including leaving ones, ordered by name.
 func (t *Table) Endpoints(now time.Time) []Endpoint {
 	endpoints := make([]Endpoint, 0, len(t.records))
 	for _, r := range t.records {
@@ -134,7 +136,7 @@
 	return endpoints
 }
 
-// Lease returns what is left of an endpoint's lease, or zero if it has none.
+// Lease returns the remaining time of an endpoint's lease, or zero if it has none.
 func (t *Table) Lease(now time.Time, name string) time.Duration {
 	return max(t.records[name].expires.Sub(now), 0)
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -10,62 +10,63 @@
 
 const testLease = 3 * time.Second
 
-// posted is an announcement on its way, which may be lost, doubled or late.
-type posted struct {
+// message is an announcement in transit, which may be lost, duplicated or delayed.
+type message struct {
 	endpoint Endpoint
-	// renews is the sequence of the whole announcement that a renewal renews, or 0.
+	// renews is the sequence of the full announcement that a renewal renews, or 0.
 	renews int64
 }
 
-// tables is a region of entries that hear of one endpoint through messages and through one another.
-type tables struct {
+// tableCluster is a region of entries that receive the announcements of one endpoint directly and from one another.
+type tableCluster struct {
 	now    time.Time
 	tables []*Table
-	sent   []posted
-	// latest is the newest announcement that each table has taken.
+	sent   []message
+	// latest is the newest announcement that each table has accepted.
 	latest []Endpoint
-	// announced is when the endpoint last announced itself, and present what it said.
-	announced time.Time
-	present   Endpoint
-	// whole is the sequence of the last whole announcement of the endpoint, and said what it said under each incarnation and sequence.
-	whole int64
-	said  map[[2]int64]int
+	// announcedAt is when the endpoint last announced itself, and current what it announced.
+	announcedAt time.Time
+	current     Endpoint
+	// fullSequence is the sequence of the last full announcement of the endpoint, and announcedSlots the slots that it
+	// announced with each incarnation and sequence.
+	fullSequence   int64
+	announcedSlots map[[2]int64]int
 }
 
-func newTables(n int) *tables {
-	m := &tables{now: time.Unix(1000, 0), present: Endpoint{Name: "e", Incarnation: 1}, latest: make([]Endpoint, n), said: map[[2]int64]int{}}
+func newTableCluster(n int) *tableCluster {
+	m := &tableCluster{now: time.Unix(1000, 0), current: Endpoint{Name: "e", Incarnation: 1}, latest: make([]Endpoint, n), announcedSlots: map[[2]int64]int{}}
 	for range n {
 		m.tables = append(m.tables, NewTable())
 	}
 	return m
 }
 
-// announce lets the endpoint say something newer; its messages are on their way until the lease that they ask for has passed.
-func (m *tables) announce(leaving bool) {
-	m.present.Sequence++
-	m.present.Leaving = leaving
-	m.present.Slots = int(m.present.Sequence)
-	m.whole = m.present.Sequence
-	m.said[[2]int64{m.present.Incarnation, m.present.Sequence}] = m.present.Slots
-	m.announced = m.now
-	m.sent = append(m.sent, posted{endpoint: m.present})
+// announce sends a newer full announcement of the endpoint; it may be delivered at any later time, also repeatedly.
+func (m *tableCluster) announce(leaving bool) {
+	m.current.Sequence++
+	m.current.Leaving = leaving
+	m.current.Slots = int(m.current.Sequence)
+	m.fullSequence = m.current.Sequence
+	m.announcedSlots[[2]int64{m.current.Incarnation, m.current.Sequence}] = m.current.Slots
+	m.announcedAt = m.now
+	m.sent = append(m.sent, message{endpoint: m.current})
 }
 
-// renew lets the endpoint renew its last whole announcement.
-func (m *tables) renew() {
-	if m.whole == 0 || m.present.Leaving {
+// renew sends a renewal of the endpoint's last full announcement.
+func (m *tableCluster) renew() {
+	if m.fullSequence == 0 || m.current.Leaving {
 		return
 	}
-	m.present.Sequence++
-	m.said[[2]int64{m.present.Incarnation, m.present.Sequence}] = m.present.Slots
-	m.announced = m.now
-	m.sent = append(m.sent, posted{endpoint: m.present, renews: m.whole})
+	m.current.Sequence++
+	m.announcedSlots[[2]int64{m.current.Incarnation, m.current.Sequence}] = m.current.Slots
+	m.announcedAt = m.now
+	m.sent = append(m.sent, message{endpoint: m.current, renews: m.fullSequence})
 }
 
-// deliver delivers a whole announcement or a renewal to a table.
-func (m *tables) deliver(t *rapid.T, i int, p posted) {
+// deliver delivers a full announcement or a renewal to a table.
+func (m *tableCluster) deliver(t *rapid.T, i int, p message) {
 	if p.renews == 0 {
-		m.take(t, i, p.endpoint, testLease)
+		m.receive(t, i, p.endpoint, testLease)
 		return
 	}
 	e := p.endpoint
@@ -75,41 +76,43 @@
 			t.Fatalf("table %d went from %d/%d to %d/%d by a renewal", i, m.latest[i].Incarnation, m.latest[i].Sequence, held.Incarnation, held.Sequence)
 		}
 		m.latest[i] = held
-		if said := m.said[[2]int64{held.Incarnation, held.Sequence}]; held.Slots != said {
-			t.Fatalf("table %d holds %d slots under %d/%d, which said %d", i, held.Slots, held.Incarnation, held.Sequence, said)
+		if said := m.announcedSlots[[2]int64{held.Incarnation, held.Sequence}]; held.Slots != said {
+			t.Fatalf("table %d holds %d slots under %d/%d, which announced %d", i, held.Slots, held.Incarnation, held.Sequence, said)
 		}
 	}
 }
 
-// take delivers a message to a table; late messages bear the lease that a receiver gives them.
-func (m *tables) take(t *rapid.T, i int, e Endpoint, lease time.Duration) {
-	took := m.tables[i].Announce(m.now, e, lease)
-	if took && !e.newer(m.latest[i]) && m.latest[i].Name != "" {
+// receive delivers an announcement to a table; the lease of a delayed one starts when it is received.
+func (m *tableCluster) receive(t *rapid.T, i int, e Endpoint, lease time.Duration) {
+	accepted := m.tables[i].Announce(m.now, e, lease)
+	if accepted && !e.newer(m.latest[i]) && m.latest[i].Name != "" {
 		t.Fatalf("table %d went from %d/%d to %d/%d", i, m.latest[i].Incarnation, m.latest[i].Sequence, e.Incarnation, e.Sequence)
 	}
-	if took {
+	if accepted {
 		m.latest[i] = e
 	}
 }
 
-// exchange gives what one table holds to another, with what is left of the leases.
-func (m *tables) exchange(t *rapid.T, from, to int) {
+// exchange sends the endpoints of one table to another with the remaining time of their leases.
+func (m *tableCluster) exchange(t *rapid.T, from, to int) {
 	for _, e := range m.tables[from].Endpoints(m.now) {
-		m.take(t, to, e, m.tables[from].Lease(m.now, e.Name))
+		m.receive(t, to, e, m.tables[from].Lease(m.now, e.Name))
 	}
 }
 
+// TestTableUnderFaults checks that no table goes back to an older announcement under loss, duplication, delay and
+// restarts, that the tables agree after an exchange, and that exchanges do not prolong a lease.
 func TestTableUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
-		m := newTables(n)
+		m := newTableCluster(n)
 		table := rapid.IntRange(0, n-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"announce": func(*rapid.T) { m.announce(false) },
 			"leave":    func(*rapid.T) { m.announce(true) },
 			"renew":    func(*rapid.T) { m.renew() },
 			"restart": func(*rapid.T) {
-				m.present = Endpoint{Name: "e", Incarnation: m.present.Incarnation + 1}
+				m.current = Endpoint{Name: "e", Incarnation: m.current.Incarnation + 1}
 				m.announce(false)
 			},
 			"deliver": func(t *rapid.T) {
@@ -123,14 +126,14 @@
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "millis")) * time.Millisecond)
 			},
 		})
-		// The last message reaches one table; exchanges make the others agree, and silence empties all.
+		// The last message reaches one table; exchanges make the others agree, and without renewals all leases expire.
 		m.announce(false)
-		m.take(t, 0, m.present, testLease)
+		m.receive(t, 0, m.current, testLease)
 		for i := range n {
 			m.exchange(t, 0, i)
 			endpoints := m.tables[i].Endpoints(m.now)
-			if len(endpoints) != 1 || endpoints[0].Sequence != m.present.Sequence || endpoints[0].Incarnation != m.present.Incarnation {
-				t.Fatalf("table %d has %v, want %d/%d", i, endpoints, m.present.Incarnation, m.present.Sequence)
+			if len(endpoints) != 1 || endpoints[0].Sequence != m.current.Sequence || endpoints[0].Incarnation != m.current.Incarnation {
+				t.Fatalf("table %d has %v, want %d/%d", i, endpoints, m.current.Incarnation, m.current.Sequence)
 			}
 		}
 		m.now = m.now.Add(testLease / 2)
@@ -145,7 +148,7 @@
 	})
 }
 
-// BenchmarkTable measures an announcement, the listing and the memory by the number of endpoints.
+// BenchmarkTable measures the time and allocations of an announcement and of the listing by the number of endpoints.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{30, 300, 3000} {
 		table := NewTable()
--- a/relay/errors.go
+++ b/relay/errors.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// StaleSourceError says that a source has not heard of the quorum's leader for long.
+// StaleSourceError is returned for a source whose last contact with the quorum's leader is too old.
 type StaleSourceError struct {
 	Address string
 	Age     time.Duration
 }
 
-// Error names the source and the time.
+// Error returns a message with the source and the time.
 func (e *StaleSourceError) Error() string {
-	return fmt.Sprintf("source %q has not heard of a leader for %v", e.Address, e.Age)
+	return fmt.Sprintf("source %q has had no contact with a leader for %v", e.Address, e.Age)
 }
 
-// SilentSourceError says that a source sends nothing, not even signs of life.
+// SilentSourceError is returned for a source that sent neither updates nor heartbeats within the limit.
 type SilentSourceError struct {
 	Address string
 	Limit   time.Duration
 }
 
-// Error names the source and the time.
+// Error returns a message with the source and the time.
 func (e *SilentSourceError) Error() string {
 	return fmt.Sprintf("source %q has sent nothing for %v", e.Address, e.Limit)
 }
--- a/relay/follower.go
+++ b/relay/follower.go
@@ -14,21 +14,24 @@
 	"arbutusreel/wiregen"
 )
 
-// Periods and limits of a follower.
+// Periods and time-outs of a follower.
 const (
-	retryPeriod   = 300 * time.Millisecond
-	silenceLimit  = 3 * time.Second
-	staleLimit    = 5 * time.Second
-	latestTimeout = time.Second
-	reportCheck   = 200 * time.Millisecond
-	reportPeriod  = time.Second
-	// advertPeriod is the time after which a report names the sender's addresses again.
+	// retryPeriod is the pause after a source has failed and before the sources are tried again.
+	retryPeriod = 300 * time.Millisecond
+	// idleTimeout is the maximum time between two messages of a source.
+	idleTimeout = 3 * time.Second
+	// maxLeaderAge is the time since a source's last contact with a leader after which the source is left.
+	maxLeaderAge      = 5 * time.Second
+	latestTimeout     = time.Second
+	reportCheckPeriod = 200 * time.Millisecond
+	reportPeriod      = time.Second
+	// advertPeriod is the time after which a report includes the sender's addresses again.
 	advertPeriod = 4 * time.Second
-	// preferPeriod is the time after which a follower goes back to a source that it prefers.
-	preferPeriod = 10 * time.Second
+	// preferredRetryPeriod is the time after which a follower tries a preferred source again.
+	preferredRetryPeriod = 10 * time.Second
 )
 
-// maxUpdateBytes bounds one update on the wire.
+// maxUpdateBytes is the maximum size of one update on the wire.
 const maxUpdateBytes = 128 << 20
 
 // Instance is the instance that a follower keeps up to date.
@@ -37,9 +40,9 @@
 	Sources() []string
 	// Dial returns a connection to a source.
 	Dial(address string) (*grpc.ClientConn, error)
-	// Adopt takes an encoded inventory into force.
+	// Adopt puts an encoded inventory into force.
 	Adopt(revision int64, whole []byte, source string) error
-	// Self returns the instance with the revision that it has in force.
+	// Self returns the state of the instance with its revision in force.
 	Self() distribution.Instance
 	// Advert returns the instance's addresses.
 	Advert() *wiregen.EntryAdvert
@@ -51,9 +54,9 @@
 	instance Instance
 	log      zerolog.Logger
 	failures *distribution.Failures
-	// wantsWhole says that a delta did not fit, so that the next source is asked for the whole.
+	// wantsWhole is set if a delta did not fit, so that the whole inventory is requested next.
 	wantsWhole atomic.Bool
-	// advertAt is when the addresses were last sent on the present stream.
+	// advertAt is when the addresses were last sent on the current stream.
 	advertAt time.Time
 }
 
@@ -62,21 +65,22 @@
 	return &Follower{hub: hub, instance: instance, log: log, failures: distribution.NewFailures()}
 }
 
-// Run asks all sources for the highest revision and then follows one after another until ctx ends.
+// Run fetches the highest revision of all sources, and then follows one source at a time until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.askAll(ctx, f.instance.Sources())
+	f.fetchHighest(ctx, f.instance.Sources())
 	for ctx.Err() == nil {
 		f.followFirst(ctx, f.sources())
 		clock.Sleep(ctx, retryPeriod)
 	}
 }
 
-// sources returns the sources, those that failed lately at the end.
+// sources returns the sources, with those that failed recently at the end.
 func (f *Follower) sources() []string {
 	return f.failures.Order(f.hub.now(), f.instance.Sources())
 }
 
-// followFirst follows the first source that is connected to a leader.
+// followFirst follows the first source that is connected to a leader. It returns when a preferred source should be
+// tried again, all sources have failed, or ctx ends.
 func (f *Follower) followFirst(ctx context.Context, sources []string) {
 	for _, address := range sources {
 		err := f.follow(ctx, address)
@@ -84,20 +88,20 @@
 			return
 		}
 		f.failures.Failed(f.hub.now(), address)
-		f.log.Warn().Str("source", address).Err(err).Msg("sourceLeft")
+		f.log.Warn().Str("source", address).Err(err).Msg("source failed; trying the next one")
 		clock.Sleep(ctx, retryPeriod)
 	}
 }
 
-// askAll takes the highest revision that any source answers within latestTimeout.
-func (f *Follower) askAll(ctx context.Context, sources []string) {
+// fetchHighest applies the highest revision that any source returns within latestTimeout.
+func (f *Follower) fetchHighest(ctx context.Context, sources []string) {
 	ctx, cancel := context.WithTimeout(ctx, latestTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	answers := make(chan *wiregen.FollowUpdate, len(sources))
 	for _, address := range sources {
 		wg.Go(func() {
-			if m, err := f.ask(ctx, address); err == nil {
+			if m, err := f.fetchLatest(ctx, address); err == nil {
 				answers <- m
 			}
 		})
@@ -113,24 +117,25 @@
 	if highest == nil {
 		return
 	}
-	if err := f.take(highest); err != nil {
-		f.log.Error().Err(err).Int64("revision", highest.GetRevision()).Msg("inventoryRefused")
+	if err := f.apply(highest); err != nil {
+		f.log.Error().Err(err).Int64("revision", highest.GetRevision()).Msg("inventory update rejected")
 	}
 }
 
-func (f *Follower) ask(ctx context.Context, address string) (*wiregen.FollowUpdate, error) {
+func (f *Follower) fetchLatest(ctx context.Context, address string) (*wiregen.FollowUpdate, error) {
 	conn, err := f.instance.Dial(address)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	revision, checksum := f.held()
-	return wiregen.NewConfigurationClient(conn).Latest(ctx, &wiregen.LatestRequest{Revision: revision, Checksum: checksum}, grpc.MaxCallRecvMsgSize(maxUpdateBytes))
+	revision, checksum := f.heldRevision()
+	return wiregen.NewConfigurationClient(conn).Latest(ctx,
+		&wiregen.LatestRequest{Revision: revision, Checksum: checksum}, grpc.MaxCallRecvMsgSize(maxUpdateBytes))
 }
 
-// follow takes what one source sends. It returns nil when a preferred source
-// should be tried again, and an error when the stream ends, falls silent or
-// comes from a source without a leader.
+// follow applies the updates of one source. It returns nil when a preferred
+// source should be tried again, and an error when the stream ends, is idle for
+// idleTimeout or comes from a source without recent contact with a leader.
 func (f *Follower) follow(ctx context.Context, address string) error {
 	conn, err := f.instance.Dial(address)
 	if err != nil {
@@ -139,43 +144,43 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceLimit, cancel)
-	defer silence.Stop()
-	updates, err := wiregen.NewConfigurationClient(conn).Follow(ctx, grpc.MaxCallRecvMsgSize(maxUpdateBytes))
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
+	stream, err := wiregen.NewConfigurationClient(conn).Follow(ctx, grpc.MaxCallRecvMsgSize(maxUpdateBytes))
 	if err != nil {
 		return err
 	}
 	sender := distribution.NewSender()
-	if err := updates.Send(f.firstReport(sender)); err != nil {
+	if err := stream.Send(f.firstReport(sender)); err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	wg.Go(func() { f.report(ctx, sender, updates) })
-	for began := f.hub.now(); f.hub.now().Sub(began) < preferPeriod || f.sources()[0] == address; {
-		update, err := updates.Recv()
-		if err != nil && !silence.Stop() {
-			return &SilentSourceError{Address: address, Limit: silenceLimit}
+	wg.Go(func() { f.sendReports(ctx, sender, stream) })
+	for started := f.hub.now(); f.hub.now().Sub(started) < preferredRetryPeriod || f.sources()[0] == address; {
+		update, err := stream.Recv()
+		if err != nil && !idleTimer.Stop() {
+			return &SilentSourceError{Address: address, Limit: idleTimeout}
 		}
 		if err != nil {
 			return err
 		}
-		silence.Reset(silenceLimit)
-		if err := f.take(update); err != nil {
+		idleTimer.Reset(idleTimeout)
+		if err := f.apply(update); err != nil {
 			return err
 		}
-		if age := time.Duration(update.GetLeaderAgeMillis()) * time.Millisecond; age > staleLimit {
+		if age := time.Duration(update.GetLeaderAgeMillis()) * time.Millisecond; age > maxLeaderAge {
 			return &StaleSourceError{Address: address, Age: age}
 		}
 	}
 	return nil
 }
 
-// take takes an update into force; if its deltas do not fit, the hub's own state is left as it is.
-func (f *Follower) take(m *wiregen.FollowUpdate) error {
+// apply puts an update into force; if its deltas do not fit, the inventory in force is kept.
+func (f *Follower) apply(m *wiregen.FollowUpdate) error {
 	f.hub.HeardLeader(f.hub.now().Add(-time.Duration(m.GetLeaderAgeMillis()) * time.Millisecond))
-	whole, changed, err := f.hub.take(decodeUpdate(m))
+	whole, changed, err := f.hub.apply(decodeUpdate(m))
 	f.wantsWhole.Store(err != nil)
 	if err != nil || !changed {
 		return err
@@ -183,8 +188,8 @@
 	return f.instance.Adopt(m.GetRevision(), whole, m.GetSource())
 }
 
-// held returns the revision in force and its checksum; zero as the checksum asks for the whole.
-func (f *Follower) held() (revision int64, checksum uint64) {
+// heldRevision returns the revision in force and its checksum; a zero checksum requests the whole inventory.
+func (f *Follower) heldRevision() (revision int64, checksum uint64) {
 	revision, checksum = f.hub.Revision()
 	if f.wantsWhole.Load() {
 		return revision, 0
@@ -195,7 +200,7 @@
 func (f *Follower) firstReport(sender *distribution.Sender) *wiregen.FollowReport {
 	f.advertAt = time.Time{}
 	m := f.nextReport(sender)
-	m.Revision, m.Checksum = f.held()
+	m.Revision, m.Checksum = f.heldRevision()
 	return m
 }
 
@@ -215,11 +220,14 @@
 	return m
 }
 
-// report sends reports until the stream ends.
-func (f *Follower) report(ctx context.Context, sender *distribution.Sender, updates grpc.BidiStreamingClient[wiregen.FollowReport, wiregen.FollowUpdate]) {
+// sendReports sends reports until the stream ends.
+func (f *Follower) sendReports(
+	ctx context.Context, sender *distribution.Sender,
+	stream grpc.BidiStreamingClient[wiregen.FollowReport, wiregen.FollowUpdate],
+) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, reportCheck)
-		if m := f.nextReport(sender); m != nil && updates.Send(m) != nil {
+		clock.Sleep(ctx, reportCheckPeriod)
+		if m := f.nextReport(sender); m != nil && stream.Send(m) != nil {
 			return
 		}
 	}
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -7,7 +7,7 @@
 	"arbutusreel/distribution"
 )
 
-// reportRetention is the time for which an instance that is no longer heard of is kept in the reports.
+// reportRetention is the time for which an instance without new reports is kept.
 const reportRetention = 10 * time.Minute
 
 // Hub is the inventory in force at one instance; it is safe for concurrent use.
@@ -15,33 +15,35 @@
 	name string
 	now  func() time.Time
 
-	mu       sync.Mutex
-	versions distribution.Versions
-	reports  *distribution.Reports
-	changed  chan struct{}
-	leaderAt time.Time
+	mu           sync.Mutex
+	versions     distribution.Versions
+	reports      *distribution.Reports
+	changed      chan struct{}
+	leaderSeenAt time.Time
 }
 
 // NewHub returns the empty hub of the instance with the name.
 func NewHub(name string, now func() time.Time) *Hub {
-	return &Hub{name: name, now: now, reports: distribution.NewReports(), changed: make(chan struct{}), leaderAt: now()}
+	return &Hub{name: name, now: now, reports: distribution.NewReports(), changed: make(chan struct{}), leaderSeenAt: now()}
 }
 
-// Put takes an inventory into force; a revision that is not higher is left out.
+// Put puts an inventory into force and reports whether its revision was higher than the current one; otherwise it is
+// ignored.
 func (h *Hub) Put(revision int64, whole []byte) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.notify(h.versions.Put(revision, whole))
 }
 
-// take takes an update into force and returns the encoded inventory.
-func (h *Hub) take(u distribution.Update) (whole []byte, ok bool, err error) {
+// apply puts an update into force and returns the encoded inventory; ok reports whether the revision changed.
+func (h *Hub) apply(u distribution.Update) (whole []byte, ok bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ok, err = h.versions.Take(u)
 	return h.versions.Whole(), h.notify(ok), err
 }
 
+// notify wakes the waiting streams if the inventory changed, and returns changed.
 func (h *Hub) notify(changed bool) bool {
 	if changed {
 		close(h.changed)
@@ -60,31 +62,32 @@
 	return h.versions.Revision(), distribution.Checksum(h.versions.Whole())
 }
 
-// since returns what a follower lacks, and a channel that is closed when there is more.
-func (h *Hub) since(revision int64, checksum uint64) (u distribution.Update, ok bool, changed <-chan struct{}) {
+// updateSince returns the update that a follower with the revision and checksum lacks, and a channel that is closed at
+// the next change.
+func (h *Hub) updateSince(revision int64, checksum uint64) (u distribution.Update, ok bool, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	u, ok = h.versions.Since(revision, checksum)
 	return u, ok, h.changed
 }
 
-// HeardLeader notes when the quorum's leader was last heard of, directly or through others.
+// HeardLeader records the time of a contact with the quorum's leader, direct or through other instances.
 func (h *Hub) HeardLeader(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if at.After(h.leaderAt) {
-		h.leaderAt = at
+	if at.After(h.leaderSeenAt) {
+		h.leaderSeenAt = at
 	}
 }
 
-// LeaderAge returns the time since the quorum's leader was heard of, or since the hub was made.
+// LeaderAge returns the time since the last contact with the quorum's leader, or since the hub was created.
 func (h *Hub) LeaderAge() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.now().Sub(h.leaderAt)
+	return h.now().Sub(h.leaderSeenAt)
 }
 
-// Report notes the states of instances.
+// Report records the states of instances.
 func (h *Hub) Report(instances ...distribution.Instance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -93,7 +96,7 @@
 	}
 }
 
-// Instances returns the instances that were reported, in the order of their names.
+// Instances returns the instances reported within reportRetention, ordered by name.
 func (h *Hub) Instances() []distribution.Instance {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -19,22 +19,22 @@
 	"arbutusreel/wiregen"
 )
 
-// node is an instance with its hub, its server and the count of bytes that its follower exchanged.
+// node is an instance with its hub, its server and the number of bytes that its follower sent and received.
 type node struct {
-	t       testing.TB
-	name    string
-	hub     *Hub
-	address string
-	sources []string
-	bytes   atomic.Int64
-	mu      sync.Mutex
-	adopted []int64
-	from    string
+	t           testing.TB
+	name        string
+	hub         *Hub
+	address     string
+	sources     []string
+	bytes       atomic.Int64
+	mu          sync.Mutex
+	adopted     []int64
+	adoptedFrom string
 }
 
 var _ Instance = (*node)(nil)
 
-// newNode returns a node that serves its hub; without sources it follows nobody.
+// newNode returns a node that serves its hub; it follows its sources once run is called.
 func newNode(t testing.TB, name string, sources ...string) *node {
 	t.Helper()
 	n := &node{t: t, name: name, hub: NewHub(name, time.Now), sources: sources}
@@ -98,7 +98,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.adopted = append(n.adopted, revision)
-	n.from = source
+	n.adoptedFrom = source
 	return nil
 }
 
@@ -111,24 +111,24 @@
 	return &wiregen.EntryAdvert{Name: n.name, Region: "lahore"}
 }
 
-func (n *node) until(what string, condition func() bool) {
+func (n *node) waitFor(what string, condition func() bool) {
 	n.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			n.t.Fatalf("gave up waiting: %s", what)
+			n.t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-func (n *node) at(revision int64) func() bool {
+func (n *node) hasRevision(revision int64) func() bool {
 	return func() bool {
 		got, _ := n.hub.Revision()
 		return got == revision
 	}
 }
 
-// led keeps a node's word of the leader fresh until the test ends.
-func (n *node) led() *node {
+// withLeader records contact with a leader at the node until the test ends.
+func (n *node) withLeader() *node {
 	done := make(chan struct{})
 	n.t.Cleanup(func() { close(done) })
 	go func() {
@@ -145,7 +145,7 @@
 }
 
 func TestTreeCarriesRevisionsAndReports(t *testing.T) {
-	voter := newNode(t, "voter").led()
+	voter := newNode(t, "voter").withLeader()
 	relay := newNode(t, "relay", voter.address).run()
 	leaf := newNode(t, "leaf", relay.address, voter.address).run()
 	whole := bytes.Repeat([]byte("inventory "), 100)
@@ -153,54 +153,54 @@
 		whole = append(bytes.Clone(whole), byte('a'+revision))
 		voter.hub.Put(revision, whole)
 	}
-	leaf.until("the leaf has revision 20", leaf.at(20))
+	leaf.waitFor("the leaf has revision 20", leaf.hasRevision(20))
 	leaf.mu.Lock()
 	adopted := slices.Clone(leaf.adopted)
 	leaf.mu.Unlock()
 	if !slices.IsSorted(adopted) || len(slices.Compact(slices.Clone(adopted))) != len(adopted) {
 		t.Errorf("the leaf adopted %v", adopted)
 	}
-	voter.until("the voter knows both at revision 20", func() bool {
+	voter.waitFor("the voter knows both at revision 20", func() bool {
 		instances := voter.hub.Instances()
 		return len(instances) == 2 && instances[0].Revision == 20 && instances[1].Revision == 20
 	})
 }
 
 func TestStartTakesHighestOfAll(t *testing.T) {
-	behind := newNode(t, "behind").led()
+	behind := newNode(t, "behind").withLeader()
 	behind.hub.Put(3, []byte("three"))
 	ahead := newNode(t, "ahead")
 	ahead.hub.Put(5, []byte("five"))
 	n := newNode(t, "n", behind.address, "127.0.0.1:1", ahead.address).run()
-	n.until("the highest revision is adopted", n.at(5))
+	n.waitFor("the highest revision is adopted", n.hasRevision(5))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.adopted[0] != 5 || n.from != "ahead" {
-		t.Errorf("adopted %v from %q", n.adopted, n.from)
+	if n.adopted[0] != 5 || n.adoptedFrom != "ahead" {
+		t.Errorf("adopted %v from %q", n.adopted, n.adoptedFrom)
 	}
 }
 
 func TestStaleSourceIsLeft(t *testing.T) {
 	stale := newNode(t, "stale")
 	stale.hub.mu.Lock()
-	stale.hub.leaderAt = time.Now().Add(-time.Hour)
+	stale.hub.leaderSeenAt = time.Now().Add(-time.Hour)
 	stale.hub.mu.Unlock()
 	stale.hub.Put(1, []byte("one"))
-	fresh := newNode(t, "fresh").led()
+	fresh := newNode(t, "fresh").withLeader()
 	fresh.hub.Put(1, []byte("one"))
 	n := newNode(t, "n", stale.address, fresh.address).run()
-	n.until("the first revision is adopted", n.at(1))
+	n.waitFor("the first revision is adopted", n.hasRevision(1))
 	fresh.hub.Put(2, []byte("two"))
-	n.until("the fresh source's revision is adopted", n.at(2))
+	n.waitFor("the fresh source's revision is adopted", n.hasRevision(2))
 }
 
 func TestForeignCopyIsReplaced(t *testing.T) {
-	voter := newNode(t, "voter").led()
+	voter := newNode(t, "voter").withLeader()
 	voter.hub.Put(1, []byte("the inventory of revision 1"))
 	voter.hub.Put(2, []byte("the inventory of revision 2"))
 	n := newNode(t, "n", voter.address)
 	n.hub.Put(1, []byte("another inventory of revision 1"))
-	n.run().until("revision 2 is adopted", n.at(2))
+	n.run().waitFor("revision 2 is adopted", n.hasRevision(2))
 	if _, checksum := n.hub.Revision(); checksum != distribution.Checksum([]byte("the inventory of revision 2")) {
 		t.Error("the copy differs from the source's")
 	}
@@ -211,7 +211,7 @@
 func BenchmarkTraffic(b *testing.B) {
 	for _, followers := range []int{0, 4, 16} {
 		b.Run(fmt.Sprint(followers), func(b *testing.B) {
-			voter := newNode(b, "voter").led()
+			voter := newNode(b, "voter").withLeader()
 			whole := bytes.Repeat([]byte{7}, 51_000)
 			voter.hub.Put(1, whole)
 			relay := newNode(b, "relay", voter.address).run()
@@ -220,7 +220,7 @@
 				all = append(all, newNode(b, fmt.Sprint("leaf-", i), relay.address).run())
 			}
 			for _, n := range all {
-				n.until("revision 1", n.at(1))
+				n.waitFor("revision 1", n.hasRevision(1))
 			}
 			time.Sleep(2 * time.Second)
 			sum := func() (bytes int64) {
@@ -242,7 +242,7 @@
 				whole[1000*i]++
 				voter.hub.Put(i+2, whole)
 				for _, n := range all {
-					n.until("the change", n.at(i+2))
+					n.waitFor("the change", n.hasRevision(i+2))
 				}
 			}
 			spent := time.Since(began).Seconds()
@@ -259,7 +259,7 @@
 	const entriesPerRegion, relays, changes = 17, 2, 20
 	for _, regions := range []int{1, 7, 21} {
 		b.Run(fmt.Sprint(regions*entriesPerRegion), func(b *testing.B) {
-			voter := newNode(b, "voter").led()
+			voter := newNode(b, "voter").withLeader()
 			whole := bytes.Repeat([]byte{7}, 51_000)
 			voter.hub.Put(1, whole)
 			var all []*node
@@ -275,7 +275,7 @@
 				}
 			}
 			for _, n := range all {
-				n.until("revision 1", n.at(1))
+				n.waitFor("revision 1", n.hasRevision(1))
 			}
 			var longest time.Duration
 			began := time.Now()
@@ -285,13 +285,13 @@
 				accepted := time.Now()
 				voter.hub.Put(i+2, whole)
 				for _, n := range all {
-					n.until("the change", n.at(i+2))
+					n.waitFor("the change", n.hasRevision(i+2))
 				}
 				longest = max(longest, time.Since(accepted))
 			}
 			b.ReportMetric(time.Since(began).Seconds()*1000/changes, "ms/change")
 			b.ReportMetric(longest.Seconds()*1000, "msLongest")
-			voter.until("the voter knows every entry", func() bool { return len(voter.hub.Instances()) == len(all) })
+			voter.waitFor("the voter knows every entry", func() bool { return len(voter.hub.Instances()) == len(all) })
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/relay/server.go
+++ b/relay/server.go
@@ -12,41 +12,42 @@
 	"arbutusreel/wiregen"
 )
 
-// signPeriod is the period of the signs of life that a source sends.
-const signPeriod = time.Second
+// heartbeatPeriod is the period of the heartbeats that a source sends.
+const heartbeatPeriod = time.Second
 
 // Server serves a hub to its followers.
 type Server struct {
 	wiregen.UnimplementedConfigurationServer
 
 	hub *Hub
-	// heard is called with each report; an error from the first one refuses the follower.
-	heard func(ctx context.Context, m *wiregen.FollowReport) error
-	done  <-chan struct{}
+	// onReport is called with each report; an error from the first one refuses the follower, one from a later report ends
+	// the reading of reports.
+	onReport func(ctx context.Context, m *wiregen.FollowReport) error
+	done     <-chan struct{}
 }
 
 var _ wiregen.ConfigurationServer = (*Server)(nil)
 
-// NewServer returns a server whose streams end when done is closed; heard is
-// called with each report, and refuses a follower by an error on the first one.
-func NewServer(hub *Hub, heard func(context.Context, *wiregen.FollowReport) error, done <-chan struct{}) *Server {
-	return &Server{hub: hub, heard: heard, done: done}
+// NewServer returns a server whose streams end when done is closed. onReport is
+// called with each report; it refuses a follower by an error on the first one.
+func NewServer(hub *Hub, onReport func(context.Context, *wiregen.FollowReport) error, done <-chan struct{}) *Server {
+	return &Server{hub: hub, onReport: onReport, done: done}
 }
 
-// Latest returns what the asker lacks.
+// Latest returns the update that the caller lacks.
 func (s *Server) Latest(_ context.Context, m *wiregen.LatestRequest) (*wiregen.FollowUpdate, error) {
-	u, _, _ := s.hub.since(m.GetRevision(), m.GetChecksum())
-	return s.sign(encodeUpdate(u)), nil
+	u, _, _ := s.hub.updateSince(m.GetRevision(), m.GetChecksum())
+	return s.addSourceState(encodeUpdate(u)), nil
 }
 
-// sign adds who sends an update and how old its word of the leader is.
-func (s *Server) sign(m *wiregen.FollowUpdate) *wiregen.FollowUpdate {
+// addSourceState sets the source of an update and the time since its last contact with a leader.
+func (s *Server) addSourceState(m *wiregen.FollowUpdate) *wiregen.FollowUpdate {
 	m.Source = s.hub.name
 	m.LeaderAgeMillis = s.hub.LeaderAge().Milliseconds()
 	return m
 }
 
-// Follow sends what the follower lacks, then each newer revision, and signs of life in between.
+// Follow sends the update that the follower lacks, then each newer revision, and heartbeats in between.
 func (s *Server) Follow(reports grpc.BidiStreamingServer[wiregen.FollowReport, wiregen.FollowUpdate]) error {
 	first, err := reports.Recv()
 	if err != nil {
@@ -55,18 +56,18 @@
 	if first.GetSender() == nil {
 		return status.Error(codes.InvalidArgument, "the first report names no sender")
 	}
-	if err := s.heard(reports.Context(), first); err != nil {
+	if err := s.onReport(reports.Context(), first); err != nil {
 		return err
 	}
 	receiver := distribution.NewReceiver()
-	s.take(receiver, first)
+	s.receiveReport(receiver, first)
 	go s.readReports(receiver, reports)
 	revision, checksum := first.GetRevision(), first.GetChecksum()
-	signs := time.NewTicker(signPeriod)
-	defer signs.Stop()
+	heartbeats := time.NewTicker(heartbeatPeriod)
+	defer heartbeats.Stop()
 	for {
-		u, ok, changed := s.hub.since(revision, checksum)
-		if err := reports.Send(s.sign(encodeUpdate(u))); err != nil {
+		u, ok, changed := s.hub.updateSince(revision, checksum)
+		if err := reports.Send(s.addSourceState(encodeUpdate(u))); err != nil {
 			return err
 		}
 		if ok {
@@ -80,7 +81,7 @@
 		}
 		select {
 		case <-changed:
-		case <-signs.C:
+		case <-heartbeats.C:
 		case <-reports.Context().Done():
 			return reports.Context().Err()
 		case <-s.done:
@@ -89,18 +90,20 @@
 	}
 }
 
-// readReports takes the reports of a follower until its stream ends.
-func (s *Server) readReports(receiver *distribution.Receiver, reports grpc.BidiStreamingServer[wiregen.FollowReport, wiregen.FollowUpdate]) {
+// readReports receives the reports of a follower until its stream ends.
+func (s *Server) readReports(
+	receiver *distribution.Receiver, reports grpc.BidiStreamingServer[wiregen.FollowReport, wiregen.FollowUpdate],
+) {
 	for {
 		m, err := reports.Recv()
-		if err != nil || s.heard(reports.Context(), m) != nil {
+		if err != nil || s.onReport(reports.Context(), m) != nil {
 			return
 		}
-		s.take(receiver, m)
+		s.receiveReport(receiver, m)
 	}
 }
 
-func (s *Server) take(receiver *distribution.Receiver, m *wiregen.FollowReport) {
+func (s *Server) receiveReport(receiver *distribution.Receiver, m *wiregen.FollowReport) {
 	now := s.hub.now()
 	s.hub.Report(receiver.Take(now, decodeReport(now, m))...)
 }
