--- a/calls/fuzz_test.go
+++ b/calls/fuzz_test.go
@@ -11,10 +11,13 @@
 	"arbutusreel/wiregen"
 )
 
-// FuzzReplica checks that a replica takes or refuses any stored change and any two requests, and starts again from what it has kept.
+// FuzzReplica checks that a replica accepts or refuses any stored change and any two requests without a panic, and that
+// it can be restored from the snapshot of its state.
 func FuzzReplica(f *testing.F) {
 	now := time.Unix(1000, 0)
-	call := ledger.Record{Key: ledger.Key{Team: "club", Key: "k"}, Digest: "d", Attempt: "a", Lease: time.Minute, ClaimedAt: now}
+	call := ledger.Record{
+		Key: ledger.Key{Team: "club", Key: "k"}, Digest: "d", Attempt: "a", Lease: time.Minute, ClaimedAt: now,
+	}
 	encode := func(m proto.Message) []byte {
 		b, err := proto.Marshal(m)
 		if err != nil {
@@ -24,7 +27,9 @@
 	}
 	change := encode(wire.EncodeLedgerChange(ledger.Change{Put: &call}))
 	for op := ledger.OpStatus; op <= ledger.OpOpen; op++ {
-		request := encode(wire.EncodeLedgerRequest(now, ledger.Request{Op: op, Group: "a", Epoch: "epoch", Call: call, Slot: "b", Incarnation: 2, Nonce: "run"}))
+		request := encode(wire.EncodeLedgerRequest(now, ledger.Request{
+			Op: op, Group: "a", Epoch: "epoch", Call: call, Slot: "b", Incarnation: 2, Nonce: "run",
+		}))
 		f.Add(change, request, request)
 	}
 	f.Add(encode(&wiregen.LedgerChange{}), encode(&wiregen.LedgerRequest{Group: "a", Epoch: "epoch", Op: 99}), []byte{})
@@ -45,11 +50,11 @@
 		}
 		records, err := encodeChanges(l.Snapshot())
 		if err != nil {
-			t.Fatalf("the replica cannot keep what it took: %v", err)
+			t.Fatalf("the snapshot of the replica cannot be encoded: %v", err)
 		}
-		again := NewReplica("a", ledger.NewReplica("a", "a", "run", ledger.Limits{}), nil, time.Now, nil)
-		if err := again.Restore(records); err != nil || again.Len() != l.Len() {
-			t.Errorf("started again with %d calls of %d: %v", again.Len(), l.Len(), err)
+		restored := NewReplica("a", ledger.NewReplica("a", "a", "run", ledger.Limits{}), nil, time.Now, nil)
+		if err := restored.Restore(records); err != nil || restored.Len() != l.Len() {
+			t.Errorf("restored %d of %d calls: %v", restored.Len(), l.Len(), err)
 		}
 	})
 }
--- a/calls/group.go
+++ b/calls/group.go
@@ -8,22 +8,22 @@
 	"arbutusreel/ledger"
 )
 
-// replicaTimeout bounds one request to a ledger replica.
+// replicaTimeout is the time limit of one request to a ledger replica.
 const replicaTimeout = time.Second
 
-// Link asks the replica of a slot.
+// Link sends a request to the replica in a slot and returns its reply.
 type Link interface {
 	Handle(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error)
 }
 
-// Group asks the ledger replicas of a region.
+// Group is the client of a region's ledger replicas.
 type Group struct {
 	name  string
 	slots []string
 	link  Link
 }
 
-// NewGroup returns a group of the replicas in the slots; the same slots must be given to every instance of the region.
+// NewGroup returns a group of the replicas in the slots. Every instance of the region must use the same slots.
 func NewGroup(slots []string, link Link) *Group {
 	return &Group{name: ledger.Group(slots), slots: slots, link: link}
 }
@@ -31,16 +31,17 @@
 // Name returns the name of the replica set.
 func (g *Group) Name() string { return g.name }
 
-// Slots returns the names of the replicas.
+// Slots returns the slots of the replicas.
 func (g *Group) Slots() []string { return g.slots }
 
 // Len returns the number of replicas.
 func (g *Group) Len() int { return len(g.slots) }
 
-// ask sends a request to every replica and passes the replies on until take reports true, all have answered or the time is over.
+// broadcast sends a request to every replica and passes the replies to handle until handle returns true, all replicas
+// have answered or replicaTimeout has passed.
 //
-// The request goes on to the replicas that are late.
-func (g *Group) ask(ctx context.Context, m ledger.Request, take func(ledger.Reply) bool) {
+// The requests to the remaining replicas are not cancelled when broadcast returns.
+func (g *Group) broadcast(ctx context.Context, m ledger.Request, handle func(ledger.Reply) bool) {
 	replies := make(chan ledger.Reply, len(g.slots))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replicaTimeout)
 	var wg sync.WaitGroup
@@ -57,24 +58,24 @@
 		close(replies)
 	}()
 	for reply := range replies {
-		if take(reply) {
+		if handle(reply) {
 			return
 		}
 	}
 }
 
-// all returns the replies of all replicas that answered in time, by slot.
-func (g *Group) all(ctx context.Context, m ledger.Request) map[string]ledger.Reply {
+// queryAll sends a request to every replica and returns, by slot, the replies that arrived in time.
+func (g *Group) queryAll(ctx context.Context, m ledger.Request) map[string]ledger.Reply {
 	replies := map[string]ledger.Reply{}
-	g.ask(ctx, m, func(r ledger.Reply) bool {
+	g.broadcast(ctx, m, func(r ledger.Reply) bool {
 		replies[r.Slot] = r
 		return false
 	})
 	return replies
 }
 
-// one asks one replica.
-func (g *Group) one(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
+// queryOne sends a request to one replica and returns its reply.
+func (g *Group) queryOne(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
 	return g.link.Handle(ctx, slot, m)
--- a/calls/keeper.go
+++ b/calls/keeper.go
@@ -12,29 +12,31 @@
 	"arbutusreel/ledger"
 )
 
-// Periods at which a replica looks at its group.
+// Periods between two reconciliations of a replica with its group: joinPeriod until the replica is active, steadyPeriod
+// afterwards.
 const (
 	joinPeriod   = 100 * time.Millisecond
 	steadyPeriod = 2 * time.Second
 )
 
-// Keeper gives a replica its part in the group: it recovers a lost memory, adopts the majority's epoch or founds a new one.
+// Keeper keeps a replica an active member of its group: it recovers a lost memory, adopts the epoch of the majority or
+// founds a new epoch. It also deletes expired records.
 type Keeper struct {
 	replica *Replica
 	group   *Group
 	log     zerolog.Logger
 }
 
-// NewKeeper returns a keeper of the replica.
+// NewKeeper returns a keeper for the replica.
 func NewKeeper(r *Replica, g *Group, log zerolog.Logger) *Keeper {
 	return &Keeper{replica: r, group: g, log: log}
 }
 
-// Run keeps the replica until ctx ends.
+// Run reconciles the replica with its group periodically until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.step(ctx)
-		k.replica.do(func(now time.Time, l *ledger.Replica) { l.Expire(now) })
+		k.reconcile(ctx)
+		k.replica.update(func(now time.Time, l *ledger.Replica) { l.Expire(now) })
 		period := joinPeriod
 		if k.replica.Status(k.group.name).Active {
 			period = steadyPeriod
@@ -46,52 +48,61 @@
 	}
 }
 
-func (k *Keeper) step(ctx context.Context) {
-	statuses := k.group.all(ctx, ledger.Request{Op: ledger.OpStatus, Group: k.group.name})
+// reconcile gets the statuses of all replicas and carries out the step that they call for.
+func (k *Keeper) reconcile(ctx context.Context) {
+	statuses := k.group.queryAll(ctx, ledger.Request{Op: ledger.OpStatus, Group: k.group.name})
 	for slot, status := range statuses {
 		if status.Refusal == ledger.RefusedGroup {
-			k.log.Error().Str("replica", slot).Str("group", k.group.name).Msg("ledgerGroupsDiffer")
+			k.log.Error().Str("replica", slot).Str("group", k.group.name).Msg("ledger replica sets differ")
 			delete(statuses, slot)
 		}
 	}
 	plan := ledger.Next(k.replica.slot, k.group.Len(), statuses)
 	switch plan.Step {
 	case ledger.StepAdopt:
-		k.replica.do(func(_ time.Time, l *ledger.Replica) { l.Adopt(plan.Epoch) })
-		k.log.Warn().Str("epoch", plan.Epoch).Msg("ledgerEpochAdopted")
+		k.replica.update(func(_ time.Time, l *ledger.Replica) { l.Adopt(plan.Epoch) })
+		k.log.Warn().Str("epoch", plan.Epoch).Msg("ledger epoch adopted")
 	case ledger.StepRecover:
-		k.recover(ctx, plan)
+		k.recoverMemory(ctx, plan)
 	case ledger.StepFound:
-		k.found(ctx, statuses)
+		k.foundEpoch(ctx, statuses)
 	default:
 	}
 }
 
-// recover reads the records of the replicas of the plan and makes the replica active.
-func (k *Keeper) recover(ctx context.Context, plan ledger.Plan) {
+// recoverMemory reads the records of the replicas in the plan and makes the replica active. It gives up if one of them
+// refuses or does not answer.
+func (k *Keeper) recoverMemory(ctx context.Context, plan ledger.Plan) {
 	var replies []ledger.Reply
 	for _, slot := range plan.From {
-		pages, ok := k.pages(ctx, slot, plan)
+		pages, ok := k.readPages(ctx, slot, plan)
 		if !ok {
 			return
 		}
 		replies = append(replies, pages...)
 	}
 	recovered := false
-	k.replica.do(func(now time.Time, l *ledger.Replica) {
+	k.replica.update(func(now time.Time, l *ledger.Replica) {
 		recovered = l.Recover(now, plan.Epoch, plan.Incarnation, replies)
 	})
 	if !recovered {
 		return
 	}
-	k.log.Warn().Str("epoch", plan.Epoch).Int64("incarnation", plan.Incarnation).Strs("from", plan.From).Int("calls", k.replica.Len()).Msg("ledgerRecovered")
+	k.log.Warn().
+		Str("epoch", plan.Epoch).
+		Int64("incarnation", plan.Incarnation).
+		Strs("from", plan.From).
+		Int("calls", k.replica.Len()).
+		Msg("ledger replica recovered")
 }
 
-// pages reads all records of one replica; ok is false if it refused or gave no answer.
-func (k *Keeper) pages(ctx context.Context, slot string, plan ledger.Plan) (pages []ledger.Reply, ok bool) {
-	m := ledger.Request{Op: ledger.OpRecover, Group: k.group.name, Epoch: plan.Epoch, Slot: k.replica.slot, Incarnation: plan.Incarnation}
+// readPages reads all records of one replica; ok is false if the replica refused or did not answer.
+func (k *Keeper) readPages(ctx context.Context, slot string, plan ledger.Plan) (pages []ledger.Reply, ok bool) {
+	m := ledger.Request{
+		Op: ledger.OpRecover, Group: k.group.name, Epoch: plan.Epoch, Slot: k.replica.slot, Incarnation: plan.Incarnation,
+	}
 	for {
-		reply, err := k.group.one(ctx, slot, m)
+		reply, err := k.group.queryOne(ctx, slot, m)
 		if err != nil || reply.Refusal != ledger.Accepted {
 			return nil, false
 		}
@@ -103,26 +114,35 @@
 	}
 }
 
-// found proposes a new epoch to the replicas that answered, and opens it if a majority holds it.
-func (k *Keeper) found(ctx context.Context, statuses map[string]ledger.Reply) {
+// foundEpoch proposes a new epoch to the replicas that answered, and opens it at those that accepted if they are a
+// majority.
+func (k *Keeper) foundEpoch(ctx context.Context, statuses map[string]ledger.Reply) {
 	epoch := rand.Text()
-	var held []string
-	lost := 0
+	var accepted []string
+	withoutMemory := 0
 	for _, slot := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[slot]
-		reply, err := k.group.one(ctx, slot, ledger.Request{Op: ledger.OpFound, Group: k.group.name, Epoch: epoch, Nonce: status.Nonce})
+		reply, err := k.group.queryOne(ctx, slot, ledger.Request{
+			Op: ledger.OpFound, Group: k.group.name, Epoch: epoch, Nonce: status.Nonce,
+		})
 		if err == nil && reply.Refusal == ledger.Accepted {
-			held = append(held, slot)
+			accepted = append(accepted, slot)
 		}
 		if !status.Active {
-			lost++
+			withoutMemory++
 		}
 	}
-	if len(held) < ledger.Quorum(k.group.Len()) {
+	if len(accepted) < ledger.Quorum(k.group.Len()) {
 		return
 	}
-	for _, slot := range held {
-		_, _ = k.group.one(ctx, slot, ledger.Request{Op: ledger.OpOpen, Group: k.group.name, Epoch: epoch, Nonce: statuses[slot].Nonce})
+	for _, slot := range accepted {
+		_, _ = k.group.queryOne(ctx, slot, ledger.Request{
+			Op: ledger.OpOpen, Group: k.group.name, Epoch: epoch, Nonce: statuses[slot].Nonce,
+		})
 	}
-	k.log.Warn().Str("epoch", epoch).Strs("replicas", held).Int("withoutMemory", lost).Msg("ledgerEpochFounded")
+	k.log.Warn().
+		Str("epoch", epoch).
+		Strs("replicas", accepted).
+		Int("withoutMemory", withoutMemory).
+		Msg("ledger epoch founded")
 }
--- a/calls/keeper_test.go
+++ b/calls/keeper_test.go
@@ -10,30 +10,33 @@
 	"arbutusreel/ledger"
 )
 
-// lateOpening is a region whose replica b is asked to open an epoch only after it has announced its recovery to a.
-type lateOpening struct {
-	region
+// delayedOpen is a link that delays the request to replica b to open an epoch until b has announced its recovery to
+// replica a, and the reply to that announcement until b is active.
+type delayedOpen struct {
+	localReplicas
 	announced chan struct{}
 }
 
-func (l *lateOpening) Handle(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
+func (l *delayedOpen) Handle(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
 	if m.Op == ledger.OpOpen && slot == "b" {
 		<-l.announced
 	}
-	reply, err := l.region.Handle(ctx, slot, m)
+	reply, err := l.localReplicas.Handle(ctx, slot, m)
 	if m.Op == ledger.OpRecover && slot == "a" {
 		close(l.announced)
-		for !l.region["b"].Status(m.Group).Active {
+		for !l.localReplicas["b"].Status(m.Group).Active {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return reply, err
 }
 
-// TestOpenedWhileRecovering founds an epoch that is opened at a replica while the replica recovers into it.
+// TestOpenedWhileRecovering guards against a group that accepts no claim because a replica is active under an
+// incarnation that the others do not count. This comes about when an epoch is opened at the replica while it
+// recovers into it.
 func TestOpenedWhileRecovering(t *testing.T) {
-	g := region{}
-	link := &lateOpening{region: g, announced: make(chan struct{})}
+	g := localReplicas{}
+	link := &delayedOpen{localReplicas: g, announced: make(chan struct{})}
 	group := NewGroup([]string{"a", "b"}, link)
 	keepers := map[string]*Keeper{}
 	for _, slot := range group.Slots() {
@@ -45,18 +48,19 @@
 	go func() {
 		defer close(opened)
 		for !g["a"].Status(group.Name()).Active || !g["b"].Status(group.Name()).Active {
-			keepers["a"].step(t.Context())
+			keepers["a"].reconcile(t.Context())
 		}
 	}()
 	for !g["a"].Status(group.Name()).Active {
 		time.Sleep(time.Millisecond)
 	}
-	keepers["b"].step(t.Context())
+	keepers["b"].reconcile(t.Context())
 	<-opened
-	keepers["b"].step(t.Context())
+	keepers["b"].reconcile(t.Context())
 	epoch := g["a"].Status(group.Name()).Epoch
-	x := New("a", group, &desk{}, nil, time.Hour, zerolog.Nop(), time.Now)
-	a := x.claim(t.Context(), epoch, ledger.Record{Key: ledger.Key{Key: "k"}, Attempt: "first", Lease: time.Minute}, time.Now())
+	x := New("a", group, &countingSender{}, nil, time.Hour, zerolog.Nop(), time.Now)
+	a := x.claim(t.Context(), epoch,
+		ledger.Record{Key: ledger.Key{Key: "k"}, Attempt: "first", Lease: time.Minute}, time.Now())
 	if !a.Claimed() {
 		t.Errorf("the group takes no call: %+v", a.Seen())
 	}
--- a/calls/repair.go
+++ b/calls/repair.go
@@ -7,13 +7,14 @@
 	"arbutusreel/ledger"
 )
 
-// Doubtful returns the calls that may have run, in the order of their keys, with the replicas that gave no answer and the epoch.
-func (x *Runner) Doubtful(ctx context.Context) (doubtful []ledger.Record, silent []string, epoch string) {
+// Doubtful returns the calls in doubt in the order of their keys, the slots of the replicas that refused or did not
+// answer, whose calls may be missing, and the epoch of the last replica that answered.
+func (x *Runner) Doubtful(ctx context.Context) (doubtful []ledger.Record, missing []string, epoch string) {
 	keys := map[ledger.Key]bool{}
 	for _, slot := range x.group.slots {
-		calls, last, ok := x.list(ctx, slot)
+		calls, last, ok := x.listDoubtful(ctx, slot)
 		if !ok {
-			silent = append(silent, slot)
+			missing = append(missing, slot)
 			continue
 		}
 		epoch = last.Epoch
@@ -22,19 +23,20 @@
 		}
 	}
 	for k := range keys {
-		if verdict, call := x.read(ctx, k); verdict == ledger.InDoubt {
+		if verdict, call := x.readVerdict(ctx, k); verdict == ledger.InDoubt {
 			doubtful = append(doubtful, call)
 		}
 	}
 	slices.SortFunc(doubtful, func(a, b ledger.Record) int { return a.Key.Compare(b.Key) })
-	return doubtful, silent, epoch
+	return doubtful, missing, epoch
 }
 
-// list returns the doubtful records of one replica.
-func (x *Runner) list(ctx context.Context, slot string) (calls []ledger.Record, last ledger.Reply, ok bool) {
+// listDoubtful returns the records of one replica that are in doubt, and its last reply; ok is false if it refused or
+// did not answer.
+func (x *Runner) listDoubtful(ctx context.Context, slot string) (calls []ledger.Record, last ledger.Reply, ok bool) {
 	m := ledger.Request{Op: ledger.OpList, Group: x.group.Name(), DoubtfulOnly: true}
 	for {
-		reply, err := x.group.one(ctx, slot, m)
+		reply, err := x.group.queryOne(ctx, slot, m)
 		if err != nil || reply.Refusal != ledger.Accepted {
 			return calls, reply, false
 		}
@@ -46,21 +48,24 @@
 	}
 }
 
-// read returns what the replicas that answer know of a call.
-func (x *Runner) read(ctx context.Context, k ledger.Key) (ledger.Verdict, ledger.Record) {
+// readVerdict reads a key from all replicas and returns the verdict on it with the record that it is based on.
+func (x *Runner) readVerdict(ctx context.Context, k ledger.Key) (ledger.Verdict, ledger.Record) {
 	var replies []ledger.Reply
-	for _, reply := range x.group.all(ctx, ledger.Request{Op: ledger.OpRead, Group: x.group.Name(), Call: ledger.Record{Key: k}}) {
+	for _, reply := range x.group.queryAll(ctx, ledger.Request{
+		Op: ledger.OpRead, Group: x.group.Name(), Call: ledger.Record{Key: k},
+	}) {
 		replies = append(replies, reply)
 	}
 	return ledger.Judge(x.now(), x.group.Len(), "", "", replies)
 }
 
-// Settle agrees on the value as the ending of a doubtful call and returns the agreed ending, which may be an earlier one.
+// Settle proposes the value as the ending of a call in doubt and returns the agreed ending, which may be one that was
+// accepted earlier.
 //
-// A call that is not known returns *NotFoundError, one whose owner may still be
-// at work *InProgressError, and one on which too few replicas agree *NoMajorityError.
+// The error is a *NotFoundError if the call is not known, an *InProgressError if its owner may still be running it, and
+// a *NoMajorityError if no majority of the replicas agrees.
 func (x *Runner) Settle(ctx context.Context, k ledger.Key, v ledger.Value) (ledger.Value, error) {
-	verdict, call := x.read(ctx, k)
+	verdict, call := x.readVerdict(ctx, k)
 	switch verdict {
 	case ledger.Running:
 		return ledger.Value{}, &InProgressError{Key: k}
@@ -68,7 +73,7 @@
 	default:
 		return ledger.Value{}, &NotFoundError{Key: k}
 	}
-	agreed, ok, refused := x.agree(ctx, call, v)
+	agreed, ok, refused := x.agreeEnding(ctx, call, v)
 	switch {
 	case ok:
 		return agreed, nil
--- a/calls/replica.go
+++ b/calls/replica.go
@@ -11,13 +11,14 @@
 	"arbutusreel/wiregen"
 )
 
-// compactFloor is the size in bytes below which a journal is not compacted.
-const compactFloor = 1 << 20
+// minCompactBytes is the size in bytes below which a journal is not compacted.
+const minCompactBytes = 1 << 20
 
-// compactGrowth is how many times its last compacted size a journal may reach.
-const compactGrowth = 3
+// compactGrowthFactor is the growth since the last compaction, as a ratio of sizes, at which a journal is compacted
+// again.
+const compactGrowthFactor = 3
 
-// Log keeps a replica's changes; records last after Sync.
+// Log stores the changes of a replica; records are durable once Sync has returned.
 type Log interface {
 	Append(records ...[]byte) error
 	Sync() error
@@ -27,21 +28,22 @@
 
 // Replica is the ledger replica of one instance; it is safe for concurrent use.
 type Replica struct {
-	mu        sync.Mutex
-	slot      string
-	replica   *ledger.Replica
-	log       Log
-	compacted int64
-	now       func() time.Time
-	fail      func(error)
+	mu            sync.Mutex
+	slot          string
+	replica       *ledger.Replica
+	log           Log
+	compactedSize int64
+	now           func() time.Time
+	onLogFailure  func(error)
 }
 
-// NewReplica returns a replica that keeps its changes in the log, or in memory if the log is nil; fail is called if the log fails, and must not return.
+// NewReplica returns a replica that stores its changes in the log, or only in memory if the log is nil. If the log
+// fails, fail is called and must not return.
 func NewReplica(slot string, r *ledger.Replica, log Log, now func() time.Time, fail func(error)) *Replica {
-	return &Replica{slot: slot, replica: r, log: log, now: now, fail: fail}
+	return &Replica{slot: slot, replica: r, log: log, now: now, onLogFailure: fail}
 }
 
-// Restore takes the records of the log that was there at the start; a record that is no change is returned as an error.
+// Restore applies the records that the log held at the start; the error reports a record that cannot be decoded.
 func (r *Replica) Restore(records [][]byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,12 +57,12 @@
 	return nil
 }
 
-// Handle answers a request after its changes are durable.
+// Handle processes a request and returns the reply once the changes are durable.
 func (r *Replica) Handle(m ledger.Request) ledger.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reply := r.replica.Handle(r.now(), m)
-	r.keep()
+	r.persist()
 	return reply
 }
 
@@ -69,12 +71,12 @@
 	return r.Handle(ledger.Request{Op: ledger.OpStatus, Group: group})
 }
 
-// do changes the replica and makes the changes durable.
-func (r *Replica) do(change func(now time.Time, l *ledger.Replica)) {
+// update applies a change to the replica and makes it durable.
+func (r *Replica) update(change func(now time.Time, l *ledger.Replica)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r.now(), r.replica)
-	r.keep()
+	r.persist()
 }
 
 // Len returns the number of records.
@@ -84,35 +86,36 @@
 	return r.replica.Len()
 }
 
-// keep makes the changes durable; the lock is held.
-func (r *Replica) keep() {
+// persist makes the pending changes durable; the caller holds the lock.
+func (r *Replica) persist() {
 	changes := r.replica.Changes()
 	if r.log == nil || len(changes) == 0 {
 		return
 	}
 	records, err := encodeChanges(changes)
 	if err == nil {
-		err = r.write(records)
+		err = r.appendRecords(records)
 	}
 	if err != nil {
-		r.fail(err)
+		r.onLogFailure(err)
 	}
 }
 
-func (r *Replica) write(records [][]byte) error {
+// appendRecords appends the records to the journal and compacts it if it has grown enough.
+func (r *Replica) appendRecords(records [][]byte) error {
 	if err := r.log.Append(records...); err != nil {
 		return err
 	}
 	if err := r.log.Sync(); err != nil {
 		return err
 	}
-	if r.log.Size() < max(compactFloor, compactGrowth*r.compacted) {
+	if r.log.Size() < max(minCompactBytes, compactGrowthFactor*r.compactedSize) {
 		return nil
 	}
 	return r.compact()
 }
 
-// compact replaces the journal by the replica's present memory.
+// compact replaces the contents of the journal by a snapshot of the replica.
 func (r *Replica) compact() error {
 	records, err := encodeChanges(r.replica.Snapshot())
 	if err != nil {
@@ -121,7 +124,7 @@
 	if err := r.log.Compact(nil, records...); err != nil {
 		return err
 	}
-	r.compacted = r.log.Size()
+	r.compactedSize = r.log.Size()
 	return nil
 }
 
--- a/calls/runner.go
+++ b/calls/runner.go
@@ -18,21 +18,23 @@
 	"arbutusreel/problem"
 )
 
-// Times of one call.
+// Time limits and retries of one call.
 const (
-	// sendWindow is how long after its claim the first byte of a call may be sent.
+	// sendWindow is how long after the start of its claim the first byte of a call may be sent.
 	sendWindow = 3 * time.Second
-	// claimWindow and claimPeriod bound how long a claim is tried while too few replicas answer.
-	claimWindow = 2 * time.Second
-	claimPeriod = 100 * time.Millisecond
-	// leaseMargin covers the reading of the clock, and the recording of the ending.
+	// claimWindow is how long a claim is retried while too few replicas answer, and claimRetryPeriod the pause between
+	// two tries.
+	claimWindow      = 2 * time.Second
+	claimRetryPeriod = 100 * time.Millisecond
+	// leaseMargin is added to the lease to cover the reading of the clock and the recording of the ending.
 	leaseMargin = 2 * time.Second
-	// finishPeriod and finishTries bound how long an ending that was not agreed is proposed again.
-	finishPeriod = time.Second
-	finishTries  = 30
+	// maxProposalRetries is how often an ending that was not agreed on is proposed again, and proposalRetryPeriod the
+	// pause after each try.
+	proposalRetryPeriod = time.Second
+	maxProposalRetries  = 30
 )
 
-// Sender sends a call to at most one endpoint.
+// Sender sends a call to at most one endpoint and returns its reply.
 type Sender interface {
 	Call(ctx context.Context, r dispatch.Request) (dispatch.Reply, error)
 }
@@ -42,37 +44,41 @@
 	self      string
 	group     *Group
 	sender    Sender
-	keeps     func(dispatch.Request) bool
+	mayStore  func(dispatch.Request) bool
 	retention time.Duration
 	log       zerolog.Logger
 	now       func() time.Time
 	active    atomic.Int64
 }
 
-// New returns a runner of the instance self; keeps reports whether the region may store the answer of a request.
-func New(self string, g *Group, sender Sender, keeps func(dispatch.Request) bool, retention time.Duration, log zerolog.Logger, now func() time.Time) *Runner {
-	return &Runner{self: self, group: g, sender: sender, keeps: keeps, retention: retention, log: log, now: now}
+// New returns a runner for the instance self. mayStore reports whether the region may store the answer to a request;
+// retention is the age that a caller's token must not reach for its key to be claimed.
+func New(
+	self string, g *Group, sender Sender, mayStore func(dispatch.Request) bool, retention time.Duration,
+	log zerolog.Logger, now func() time.Time,
+) *Runner {
+	return &Runner{self: self, group: g, sender: sender, mayStore: mayStore, retention: retention, log: log, now: now}
 }
 
-// Active returns the number of calls whose ending is not recorded yet.
+// Active returns the number of calls that are running or whose ending is not recorded yet.
 func (x *Runner) Active() int64 { return x.active.Load() }
 
-// result is how a call ended for its caller.
+// result is the reply or the error that the caller of a call gets.
 type result struct {
 	reply dispatch.Reply
 	err   error
 }
 
-// Run sends the call unless its key is known, whose recorded ending it returns; a failure is a *problem.Problem.
+// Run sends the call, or returns the recorded ending if its key is already known. Every error is a *problem.Problem.
 //
-// A call that was claimed runs on when ctx ends, and its ending is recorded.
+// A call that was claimed continues after ctx ends, and its ending is recorded.
 func (x *Runner) Run(ctx context.Context, r dispatch.Request) (dispatch.Reply, error) {
 	return x.RunThen(ctx, r, func() {})
 }
 
-// RunThen is Run, and calls ended once the call runs no more and its ending is recorded.
+// RunThen is like Run, and calls ended once the call is over and the attempt to record its ending has finished.
 func (x *Runner) RunThen(ctx context.Context, r dispatch.Request, ended func()) (dispatch.Reply, error) {
-	if err := x.check(r); err != nil {
+	if err := x.validate(r); err != nil {
 		ended()
 		return dispatch.Reply{}, err
 	}
@@ -84,67 +90,71 @@
 		x.run(context.WithoutCancel(ctx), r, done)
 	}()
 	select {
-	case end := <-done:
-		return end.reply, end.err
+	case res := <-done:
+		return res.reply, res.err
 	case <-ctx.Done():
 		return dispatch.Reply{}, inProgress()
 	}
 }
 
-// check refuses a call that the ledger cannot hold.
-func (x *Runner) check(r dispatch.Request) error {
+// validate returns a problem for a call without an idempotency key, or if the instance has no ledger replicas.
+func (x *Runner) validate(r dispatch.Request) error {
 	if r.IdempotencyKey == "" {
-		return problem.New(problem.KeyRequired, http.StatusBadRequest, "service %q needs the header Idempotency-Key", r.Service)
+		return problem.New(problem.KeyRequired, http.StatusBadRequest,
+			"service %q needs the header Idempotency-Key", r.Service)
 	}
 	if x.group.Len() == 0 {
-		return problem.New(problem.LedgerUnavailable, http.StatusServiceUnavailable, "instance %q has no setting %q", x.self, "ledgerReplicas")
+		return problem.New(problem.LedgerUnavailable, http.StatusServiceUnavailable,
+			"instance %q has no setting %q", x.self, "ledgerReplicas")
 	}
 	return nil
 }
 
-// run takes a call from its claim to its recorded ending; the result is told as soon as it is known.
+// run carries a call from its claim to its recorded ending, and sends the result on done as soon as it is known.
 func (x *Runner) run(ctx context.Context, r dispatch.Request, done chan<- result) {
-	began := x.now()
-	patience := max(r.Deadline.Sub(began), 0)
+	start := x.now()
+	remaining := max(r.Deadline.Sub(start), 0)
 	call := ledger.Record{
 		Key:     ledger.Key{Team: r.Team, Key: r.IdempotencyKey},
-		Digest:  digestOf(r),
+		Digest:  requestDigest(r),
 		Service: r.Service,
 		Attempt: rand.Text(),
 		Owner:   x.self,
-		Lease:   sendWindow + patience + leaseMargin,
+		Lease:   sendWindow + remaining + leaseMargin,
 	}
 	token, ok := ledger.ParseToken(r.Epoch)
-	if !ok || !token.Fresh(began, x.retention) {
-		done <- x.look(ctx, call, ok)
+	if !ok || !token.Fresh(start, x.retention) {
+		done <- x.lookUp(ctx, call, ok)
 		return
 	}
-	a := x.claim(ctx, token.Epoch, call, began.Add(min(claimWindow, patience)))
+	a := x.claim(ctx, token.Epoch, call, start.Add(min(claimWindow, remaining)))
 	x.logClaim(r, a)
 	if !a.Claimed() {
-		x.phase(ctx, a)
-		done <- x.judge(ctx, call, a.Seen())
+		x.runPhase(ctx, a)
+		done <- x.resolveLostClaim(ctx, call, a.Seen())
 		return
 	}
-	r.Claimed, r.SendBy = true, began.Add(sendWindow)
-	sending, cancel := context.WithDeadline(ctx, began.Add(sendWindow+patience))
+	r.Claimed, r.SendBy = true, start.Add(sendWindow)
+	sendCtx, cancel := context.WithDeadline(ctx, start.Add(sendWindow+remaining))
 	defer cancel()
-	reply, err := x.sender.Call(sending, r)
-	x.end(ctx, a, r, result{reply: reply, err: err}, done)
+	reply, err := x.sender.Call(sendCtx, r)
+	x.recordEnding(ctx, a, r, result{reply: reply, err: err}, done)
 }
 
-// claim claims the call; while too few replicas answer, the same attempt tries again until the time for it is over.
+// claim claims the call. While too few replicas answer, it retries under the same attempt id until end.
 func (x *Runner) claim(ctx context.Context, epoch string, call ledger.Record, end time.Time) *ledger.Attempt {
 	for {
 		a := ledger.NewAttempt(x.group.Len(), x.group.Name(), epoch, call)
-		x.phase(ctx, a)
+		x.runPhase(ctx, a)
 		if a.Claimed() || !x.now().Before(end) {
 			return a
 		}
-		if verdict, _ := ledger.Judge(x.now(), x.group.Len(), call.Attempt, call.Digest, a.Seen()); verdict != ledger.Unavailable {
+		if verdict, _ := ledger.Judge(
+			x.now(), x.group.Len(), call.Attempt, call.Digest, a.Seen(),
+		); verdict != ledger.Unavailable {
 			return a
 		}
-		time.Sleep(claimPeriod)
+		time.Sleep(claimRetryPeriod)
 	}
 }
 
@@ -158,14 +168,14 @@
 		Msg("claim")
 }
 
-// phase sends the request of the attempt's phase and waits until the phase is decided.
-func (x *Runner) phase(ctx context.Context, a *ledger.Attempt) {
+// runPhase sends the request of the attempt's current phase and waits until the phase is decided.
+func (x *Runner) runPhase(ctx context.Context, a *ledger.Attempt) {
 	p := a.Phase()
 	m, ok := a.Request()
 	if !ok {
 		return
 	}
-	x.group.ask(ctx, m, func(r ledger.Reply) bool {
+	x.group.broadcast(ctx, m, func(r ledger.Reply) bool {
 		a.Handle(p, r)
 		return a.Phase() != p
 	})
@@ -174,60 +184,68 @@
 	}
 }
 
-// end records how a claimed call ended.
-func (x *Runner) end(ctx context.Context, a *ledger.Attempt, r dispatch.Request, got result, done chan<- result) {
-	if got.err == nil {
-		a.Answered(x.value(r, got.reply))
-		x.phase(ctx, a)
-		done <- got
-		x.finish(ctx, a)
+// recordEnding records the ending of a claimed call and sends the result on done.
+func (x *Runner) recordEnding(
+	ctx context.Context, a *ledger.Attempt, r dispatch.Request, res result, done chan<- result,
+) {
+	if res.err == nil {
+		a.Answered(x.completedValue(r, res.reply))
+		x.runPhase(ctx, a)
+		done <- res
+		x.propagateEnding(ctx, a)
 		return
 	}
-	if p, ok := notSent(got.err); ok {
+	if p, ok := notSent(res.err); ok {
 		a.NotSent()
-		x.phase(ctx, a)
+		x.runPhase(ctx, a)
 		done <- result{err: p}
 		return
 	}
-	x.log.Warn().Str("correlationId", r.CorrelationID).Str("attempt", a.Call().Attempt).Err(got.err).Msg("callInDoubt")
+	x.log.Warn().Str("correlationId", r.CorrelationID).Str("attempt", a.Call().Attempt).Err(res.err).Msg("callInDoubt")
 	a.InDoubt()
-	x.phase(ctx, a)
+	x.runPhase(ctx, a)
 	done <- result{err: inDoubt()}
 }
 
-// value returns the ending of a call that was answered, without its body where that may not be stored.
-func (x *Runner) value(r dispatch.Request, reply dispatch.Reply) ledger.Value {
+// completedValue returns the ending of a call that was answered, without the body if the region may not store it.
+func (x *Runner) completedValue(r dispatch.Request, reply dispatch.Reply) ledger.Value {
 	o := ledger.Outcome{Status: reply.Status, ContentType: reply.ContentType}
-	if x.keeps(r) {
+	if x.mayStore(r) {
 		o.Body, o.Kept = reply.Body, true
 	}
 	return ledger.Value{Ending: ledger.Completed, Outcome: o, By: x.self}
 }
 
-// finish tells the replicas that the ending was agreed, or proposes it again until it is.
-func (x *Runner) finish(ctx context.Context, a *ledger.Attempt) {
+// propagateEnding reports the agreed ending to the replicas. If the ending was not agreed on, it proposes it again, up
+// to maxProposalRetries times.
+func (x *Runner) propagateEnding(ctx context.Context, a *ledger.Attempt) {
 	call := a.Call()
 	if a.Chosen() {
-		x.learn(ctx, call)
+		x.announceEnding(ctx, call)
 		return
 	}
-	for range finishTries {
-		if _, ok, _ := x.agree(ctx, call, ledger.Value{}); ok {
+	for range maxProposalRetries {
+		if _, ok, _ := x.agreeEnding(ctx, call, ledger.Value{}); ok {
 			return
 		}
-		time.Sleep(finishPeriod)
+		time.Sleep(proposalRetryPeriod)
 	}
 	x.log.Error().Str("attempt", call.Attempt).Str("service", call.Service).Msg("endingNotRecorded")
 }
 
-func (x *Runner) learn(ctx context.Context, call ledger.Record) {
-	x.group.ask(ctx, ledger.Request{Op: ledger.OpLearn, Group: x.group.Name(), Call: call}, func(ledger.Reply) bool { return false })
+// announceEnding reports the chosen ending of the call to every replica.
+func (x *Runner) announceEnding(ctx context.Context, call ledger.Record) {
+	x.group.broadcast(ctx, ledger.Request{Op: ledger.OpLearn, Group: x.group.Name(), Call: call},
+		func(ledger.Reply) bool { return false })
 }
 
-// agree settles the ending of a call; proposed is used if no replica has accepted one.
-func (x *Runner) agree(ctx context.Context, call ledger.Record, proposed ledger.Value) (ledger.Value, bool, ledger.Refusal) {
+// agreeEnding runs a settlement of the call and returns the agreed ending, whether there is one, and the last refusal.
+// It proposes an ending that a replica accepted, else that of the call, else proposed.
+func (x *Runner) agreeEnding(
+	ctx context.Context, call ledger.Record, proposed ledger.Value,
+) (ledger.Value, bool, ledger.Refusal) {
 	epoch, highest := "", call.Promised
-	for _, reply := range x.group.all(ctx, ledger.Request{Op: ledger.OpRead, Group: x.group.Name(), Call: call}) {
+	for _, reply := range x.group.queryAll(ctx, ledger.Request{Op: ledger.OpRead, Group: x.group.Name(), Call: call}) {
 		if reply.Active {
 			epoch = reply.Epoch
 		}
@@ -243,7 +261,7 @@
 		if !ok {
 			break
 		}
-		x.group.ask(ctx, m, func(r ledger.Reply) bool {
+		x.group.broadcast(ctx, m, func(r ledger.Reply) bool {
 			s.Handle(accepting, r, proposed)
 			return s.Ended() || s.Accepting() != accepting
 		})
@@ -251,15 +269,15 @@
 	v, ok := s.Chosen()
 	if ok {
 		call.Value = v
-		x.learn(ctx, call)
+		x.announceEnding(ctx, call)
 	}
 	return v, ok, s.Refused()
 }
 
-// look answers a call whose key may not be claimed, from what the replicas know of it.
-func (x *Runner) look(ctx context.Context, call ledger.Record, hasToken bool) result {
+// lookUp returns the result of a call whose key may not be claimed, from the records that the replicas have of it.
+func (x *Runner) lookUp(ctx context.Context, call ledger.Record, hasToken bool) result {
 	var replies []ledger.Reply
-	for _, reply := range x.group.all(ctx, ledger.Request{Op: ledger.OpRead, Group: x.group.Name(), Call: call}) {
+	for _, reply := range x.group.queryAll(ctx, ledger.Request{Op: ledger.OpRead, Group: x.group.Name(), Call: call}) {
 		replies = append(replies, reply)
 	}
 	verdict, _ := ledger.Judge(x.now(), x.group.Len(), call.Attempt, call.Digest, replies)
@@ -269,15 +287,15 @@
 	if verdict == ledger.Unavailable {
 		return result{err: stale()}
 	}
-	return x.judge(ctx, call, replies)
+	return x.resolveLostClaim(ctx, call, replies)
 }
 
-// judge answers a call that was not claimed.
-func (x *Runner) judge(ctx context.Context, call ledger.Record, replies []ledger.Reply) result {
+// resolveLostClaim returns the result of a call that was not claimed, from the replies of the replicas.
+func (x *Runner) resolveLostClaim(ctx context.Context, call ledger.Record, replies []ledger.Reply) result {
 	verdict, known := ledger.Judge(x.now(), x.group.Len(), call.Attempt, call.Digest, replies)
 	switch verdict {
 	case ledger.Answered:
-		return x.answer(ctx, known)
+		return x.recordedResult(ctx, known)
 	case ledger.Reused:
 		return result{err: keyReused()}
 	case ledger.Running:
@@ -287,25 +305,25 @@
 	case ledger.Stale:
 		return result{err: stale()}
 	case ledger.NoRoom:
-		return result{err: noRoom()}
+		return result{err: ledgerFull()}
 	default:
 		return result{err: unavailable()}
 	}
 }
 
-// answer returns the ending of a known call, which is agreed on first if need be.
-func (x *Runner) answer(ctx context.Context, call ledger.Record) result {
+// recordedResult returns the result of a call that has an ending, and agrees on the ending first if it is not chosen.
+func (x *Runner) recordedResult(ctx context.Context, call ledger.Record) result {
 	v := call.Value
 	if !call.Chosen {
 		var ok bool
-		if v, ok, _ = x.agree(ctx, call, ledger.Value{}); !ok {
+		if v, ok, _ = x.agreeEnding(ctx, call, ledger.Value{}); !ok {
 			return result{err: inProgress()}
 		}
 	}
-	return answerOf(v)
+	return resultOf(v)
 }
 
-// notSent returns the problem of a call of which no byte was sent.
+// notSent returns the problem to report for a call of which no byte was sent, and false if the call may have been sent.
 func notSent(err error) (*problem.Problem, bool) {
 	var p *problem.Problem
 	if errors.As(err, &p) {
@@ -313,13 +331,15 @@
 	}
 	var unsent *endpoint.NotSentError
 	if errors.As(err, &unsent) {
-		return problem.New(problem.EndpointFailed, http.StatusBadGateway, "%s", unsent.Error()).WithRetryAfter(retryAfterInProgress), true
+		return problem.New(problem.EndpointFailed, http.StatusBadGateway, "%s", unsent.Error()).
+			WithRetryAfter(retryAfterInProgress), true
 	}
 	return nil, false
 }
 
-// digestOf identifies what a request asks: its service, method, path, content type and body.
-func digestOf(r dispatch.Request) string {
+// requestDigest returns the SHA-256 digest, in hexadecimal, of a request's service, method, path, content type and
+// body.
+func requestDigest(r dispatch.Request) string {
 	h := sha256.New()
 	for _, part := range []string{r.Service, r.Method, r.Path, r.ContentType} {
 		h.Write([]byte(part))
--- a/ledger/actions_test.go
+++ b/ledger/actions_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// start begins an attempt with a key, under the token of the key's first try.
-func (m *machine) start(key string) {
+// startAttempt starts an attempt to claim the key, under the epoch that the key was first tried with.
+func (m *machine) startAttempt(key string) {
 	if m.tokens[key] == "" {
 		m.tokens[key] = m.epoch()
 	}
@@ -24,36 +24,37 @@
 	m.sendAttempt(a)
 }
 
-// dispatch sends the call of an attempt that waits for it, with one of the ways it may end.
-func (m *machine) dispatch(a *testAttempt, how string) {
+// dispatch sends the call of an attempt in the phase Sending, with the given outcome. It fails on a second dispatch of
+// a key, on a dispatch of a key that was settled as not run, and on a report of not run after a dispatch.
+func (m *machine) dispatch(a *testAttempt, outcome string) {
 	before := a.Phase()
 	if before != Sending {
 		return
 	}
-	late := m.now.Sub(a.began) > testWindow
-	if how == "notSent" || late {
+	late := m.now.Sub(a.began) > testSendWindow
+	if outcome == "notSent" || late {
 		a.NotSent()
 		if m.dispatches[a.key] > 0 {
-			m.fail(a.key, "told not run after a dispatch")
+			m.fail(a.key, "reported as not run after a dispatch")
 		}
 		m.sendAttempt(a)
 		return
 	}
 	m.dispatches[a.key]++
-	m.used["dispatched"]++
+	m.coverage["dispatched"]++
 	if m.chosen[a.key].Ending == SettledNotRun {
 		m.fail(a.key, "dispatched after an operator settled it as not run")
 	}
 	if m.dispatches[a.key] > 1 {
 		m.fail(a.key, "dispatched twice")
 	}
-	switch how {
+	switch outcome {
 	case "answered":
 		a.Answered(Value{Ending: Completed, Outcome: Outcome{Status: 200, Body: []byte(a.Call().Attempt), Kept: true}})
 	case "doubt":
 		a.InDoubt()
 	default:
-		a.next(Ended) // The owner was killed.
+		a.enterPhase(Ended) // The owner was killed.
 	}
 	m.sendAttempt(a)
 }
@@ -61,9 +62,9 @@
 func (m *machine) actions() map[string]func(*rapid.T) {
 	slot := rapid.SampledFrom(m.slots)
 	key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g", "h"})
-	take := func(t *rapid.T, remove bool) message {
+	pick := func(t *rapid.T, remove bool) message {
 		if len(m.inFlight) == 0 {
-			return message{back: func(Reply) {}}
+			return message{onReply: func(Reply) {}}
 		}
 		i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
 		x := m.inFlight[i]
@@ -73,31 +74,31 @@
 		return x
 	}
 	deliver := func(t *rapid.T, remove bool) {
-		x := take(t, remove)
+		x := pick(t, remove)
 		if x.to == "" {
-			x.back(Reply{})
+			x.onReply(Reply{})
 			return
 		}
 		if reply, ok := m.handle(x.to, x.request); ok {
-			back := x.back
-			m.inFlight = append(m.inFlight, message{back: func(Reply) { back(reply) }})
+			back := x.onReply
+			m.inFlight = append(m.inFlight, message{onReply: func(Reply) { back(reply) }})
 		}
 	}
-	one := func(t *rapid.T) {
+	deliverOne := func(t *rapid.T) {
 		if len(m.inFlight) > 0 {
 			deliver(t, true)
 		}
 	}
 	return map[string]func(*rapid.T){
-		"deliver": one,
+		"deliver": deliverOne,
 		"deliverMany": func(t *rapid.T) {
 			for range rapid.IntRange(1, 12).Draw(t, "count") {
-				one(t)
+				deliverOne(t)
 			}
 		},
 		"duplicate": func(t *rapid.T) { deliver(t, false) },
-		"lose":      func(t *rapid.T) { take(t, true) },
-		"start":     func(t *rapid.T) { m.start(key.Draw(t, "key")) },
+		"lose":      func(t *rapid.T) { pick(t, true) },
+		"start":     func(t *rapid.T) { m.startAttempt(key.Draw(t, "key")) },
 		"dispatch": func(t *rapid.T) {
 			sending := slices.DeleteFunc(slices.Clone(m.attempts), func(a *testAttempt) bool { return a.Phase() != Sending })
 			if len(sending) == 0 {
@@ -108,7 +109,7 @@
 		},
 		"crash": func(t *rapid.T) { m.crash(slot.Draw(t, "slot")) },
 		"crashUnsynced": func(t *rapid.T) {
-			if x := take(t, true); x.to != "" && m.nodes[x.to].alive {
+			if x := pick(t, true); x.to != "" && m.nodes[x.to].alive {
 				m.nodes[x.to].Handle(m.now, x.request)
 				m.crash(x.to)
 			}
@@ -126,16 +127,16 @@
 		},
 		"keep": func(t *rapid.T) {
 			s := slot.Draw(t, "slot")
-			if m.nodes[s].alive && len(m.nodes[s].todo) == 0 {
-				m.keep(s, rapid.SliceOfDistinct(slot, rapid.ID[string]).Draw(t, "reached"))
+			if m.nodes[s].alive && len(m.nodes[s].pendingSteps) == 0 {
+				m.planStep(s, rapid.SliceOfDistinct(slot, rapid.ID[string]).Draw(t, "reached"))
 			}
 		},
-		"keepStep":   func(t *rapid.T) { m.step(slot.Draw(t, "slot")) },
+		"keepStep":   func(t *rapid.T) { m.runStep(slot.Draw(t, "slot")) },
 		"recoverAll": func(*rapid.T) { m.recoverAll() },
 		"settle": func(t *rapid.T) {
 			k := Key{Key: key.Draw(t, "key")}
 			ending := rapid.SampledFrom([]Ending{SettledRan, SettledNotRun}).Draw(t, "ending")
-			verdict, call := m.ask(k, rapid.SliceOfNDistinct(slot, 1, -1, rapid.ID[string]).Draw(t, "reached"))
+			verdict, call := m.readVerdict(k, rapid.SliceOfNDistinct(slot, 1, -1, rapid.ID[string]).Draw(t, "reached"))
 			if verdict == InDoubt {
 				m.settle(call, Value{Ending: ending, By: "operator"})
 			}
@@ -146,21 +147,21 @@
 	}
 }
 
-// weights are how often each action is drawn.
-var weights = map[string]int{
+// actionWeights holds the relative frequency of each action.
+var actionWeights = map[string]int{
 	"deliver": 6, "deliverMany": 8, "duplicate": 2, "lose": 2, "start": 5, "dispatch": 6, "crash": 1, "crashUnsynced": 1,
 	"loseDisk": 1, "restart": 3, "keep": 3, "keepStep": 6, "recoverAll": 2, "settle": 2, "wait": 2,
 }
 
-// drive runs weighted actions.
-func (m *machine) drive(t *rapid.T, steps int) {
+// runActions runs the given number of weighted random actions.
+func (m *machine) runActions(t *rapid.T, steps int) {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(weights)) {
-		for range weights[name] {
+	for _, name := range slices.Sorted(maps.Keys(actionWeights)) {
+		for range actionWeights[name] {
 			names = append(names, name)
 		}
 	}
-	// The order is mixed since rapid draws the first items more often than the last.
+	// The order is shuffled because rapid draws the first items more often than the last.
 	names = rapid.Permutation(names).Draw(t, "mix")
 	actions := m.actions()
 	for i := range steps {
--- a/ledger/atmostonce_test.go
+++ b/ledger/atmostonce_test.go
@@ -7,6 +7,9 @@
 	"pgregory.net/rapid"
 )
 
+// TestAtMostOnce drives groups of one to five replicas through random faults: lost, duplicated and reordered messages,
+// crashes before and after a sync, lost disks, killed owners and operators. It checks that each key is dispatched at
+// most once and has one ending, and that the group accepts a claim once the faults end.
 func TestAtMostOnce(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 5} {
 		t.Run(fmt.Sprint(n, " replicas"), func(t *testing.T) {
@@ -17,9 +20,9 @@
 					for range 2*n + 2 {
 						m.recoverAll()
 					}
-					m.drive(t, 250)
+					m.runActions(t, 250)
 					m.checkServes()
-					for what, count := range m.used {
+					for what, count := range m.coverage {
 						used[what] += count
 					}
 				}
@@ -29,7 +32,7 @@
 	}
 }
 
-// checkServes checks that the group claims a new key once every replica runs and reaches the others.
+// checkServes checks that the group accepts the claim of a new key once every replica runs and reaches the others.
 func (m *machine) checkServes() {
 	for _, slot := range m.slots {
 		if !m.nodes[slot].alive {
@@ -52,13 +55,15 @@
 	}
 }
 
-// TestLateClaimAfterRecovery lets a claim reach a replica after another one, which had acknowledged it, lost its memory and recovered.
+// TestLateClaimAfterRecovery guards against two attempts that both win the claim of one key. This would come about when
+// a replica acknowledges the first claim, loses its memory and recovers, and the same claim reaches another replica
+// only afterwards: the acknowledgement from before the loss must not count.
 func TestLateClaimAfterRecovery(t *testing.T) {
 	m := newMachine(3, 0)
 	for range 3 {
 		m.recoverAll()
 	}
-	m.start("a")
+	m.startAttempt("a")
 	claim := m.inFlight[0].request
 	first := m.attempts[0]
 	acknowledge := func(slot string, a *testAttempt, r Request) {
@@ -74,7 +79,7 @@
 		t.Fatal("r0 has not recovered")
 	}
 	acknowledge("r1", first, claim)
-	m.start("a")
+	m.startAttempt("a")
 	second := m.attempts[1]
 	other, _ := second.Request()
 	acknowledge("r0", second, other)
@@ -87,7 +92,8 @@
 	}
 }
 
-// TestSplitGroupServes lets all replicas have their memory, but no majority of them one epoch.
+// TestSplitGroupServes guards against a group that accepts no claim because all replicas are active but no epoch has a
+// majority of them.
 func TestSplitGroupServes(t *testing.T) {
 	for _, epochs := range [][]string{{"x", "y"}, {"x", "x", "y", "y"}, {"x", "x", "y", "y", "z"}} {
 		t.Run(fmt.Sprint(len(epochs), " replicas"), func(t *testing.T) {
--- a/ledger/attempt.go
+++ b/ledger/attempt.go
@@ -1,58 +1,59 @@
 package ledger
 
-// Phase is what an attempt waits for.
+// Phase is the phase of an attempt.
 type Phase int
 
 // Phases of an attempt.
 const (
-	// Claiming waits for the replies to the claim.
+	// Claiming means that the attempt waits for the replies to its claim.
 	Claiming Phase = iota
-	// Sending may send its call to one endpoint, once.
+	// Sending means that the claim was won and the call may be sent to one endpoint, once.
 	Sending
-	// Withdrawing waits for the replies to the withdrawal of a claim that was not sent.
+	// Withdrawing means that the attempt waits for the replies to the withdrawal of a claim whose call was not sent.
 	Withdrawing
-	// Completing waits for the replies to the ending.
+	// Completing means that the attempt waits for the replies to its proposal of the ending.
 	Completing
-	// Expiring waits for the replies to the end of the lease of a call in doubt.
+	// Expiring means that the attempt waits for the replies to the request to end the lease of a call in doubt.
 	Expiring
-	// Ended attempts wait for nothing.
+	// Ended means that the attempt is over.
 	Ended
 )
 
-// Attempt takes one call from its claim to its ending; it is not safe for concurrent use.
+// Attempt is the state machine of one call from its claim to its ending; it is not safe for concurrent use.
 type Attempt struct {
-	n      int
-	group  string
-	epoch  string
-	call   Record
-	phase  Phase
-	tally  *Tally
-	won    bool
-	chosen bool
-	seen   []Reply
+	n            int
+	group        string
+	epoch        string
+	call         Record
+	phase        Phase
+	tally        *Tally
+	claimed      bool
+	chosen       bool
+	claimReplies []Reply
 }
 
-// NewAttempt returns an attempt that claims the call under the caller's epoch on n replicas of the group.
+// NewAttempt returns an attempt to claim the call, under the epoch of the caller's token, on the n replicas of the
+// group.
 func NewAttempt(n int, group, epoch string, call Record) *Attempt {
 	return &Attempt{n: n, group: group, epoch: epoch, call: call, tally: NewTally(n)}
 }
 
-// Phase returns what the attempt waits for.
+// Phase returns the current phase.
 func (a *Attempt) Phase() Phase { return a.phase }
 
 // Claimed reports whether the claim was won.
-func (a *Attempt) Claimed() bool { return a.won }
+func (a *Attempt) Claimed() bool { return a.claimed }
 
-// Chosen reports whether the ending was agreed.
+// Chosen reports whether the ending was agreed on.
 func (a *Attempt) Chosen() bool { return a.chosen }
 
 // Seen returns the replies to the claim.
-func (a *Attempt) Seen() []Reply { return a.seen }
+func (a *Attempt) Seen() []Reply { return a.claimReplies }
 
-// Call returns the claim with its ending, if there is one.
+// Call returns the record of the claim, with its ending if there is one.
 func (a *Attempt) Call() Record { return a.call }
 
-// Request returns the request of the phase, to be sent to each replica; ok is false if the phase has none.
+// Request returns the request of the current phase, to be sent to every replica; ok is false if the phase has none.
 func (a *Attempt) Request() (m Request, ok bool) {
 	m = Request{Group: a.group, Epoch: a.epoch, Call: a.call}
 	switch a.phase {
@@ -70,9 +71,10 @@
 	return m, true
 }
 
-// Handle takes the reply of a replica to the request of a phase; replies to earlier phases are dropped.
+// Handle processes the reply of a replica to the request of a phase; replies to earlier phases are ignored.
 //
-// A lost claim waits for the replies that are missing, unless one has told an ending.
+// After a lost claim the attempt still waits for the missing replies, unless a reply already holds an ending of the
+// call.
 func (a *Attempt) Handle(phase Phase, r Reply) {
 	if phase != a.phase {
 		return
@@ -86,51 +88,51 @@
 	}
 }
 
-// GiveUp ends the wait of the phase without a majority.
+// GiveUp ends the current phase without a majority.
 func (a *Attempt) GiveUp() { a.decide(false) }
 
 func (a *Attempt) decide(won bool) {
 	switch a.phase {
 	case Claiming:
-		a.won = won
-		a.seen = a.tally.Replies()
+		a.claimed = won
+		a.claimReplies = a.tally.Replies()
 		if won {
-			a.next(Sending)
+			a.enterPhase(Sending)
 			return
 		}
-		a.next(Withdrawing)
+		a.enterPhase(Withdrawing)
 	case Completing:
 		a.chosen = won
-		a.next(Ended)
+		a.enterPhase(Ended)
 	case Withdrawing, Expiring:
-		a.next(Ended)
+		a.enterPhase(Ended)
 	default:
 	}
 }
 
-func (a *Attempt) next(p Phase) {
+func (a *Attempt) enterPhase(p Phase) {
 	a.phase = p
 	a.tally = NewTally(a.n)
 }
 
-// NotSent withdraws the claim of a call of which no byte was or will be sent.
+// NotSent starts the withdrawal of a claim; no byte of its call was sent, and none will be.
 func (a *Attempt) NotSent() {
 	if a.phase == Sending {
-		a.next(Withdrawing)
+		a.enterPhase(Withdrawing)
 	}
 }
 
-// Answered proposes the ending of a call that was sent.
+// Answered starts the proposal of the ending of a call that was answered.
 func (a *Attempt) Answered(v Value) {
 	if a.phase == Sending {
 		a.call.Value = v
-		a.next(Completing)
+		a.enterPhase(Completing)
 	}
 }
 
-// InDoubt ends the lease of a call that was sent and has no answer.
+// InDoubt starts the expiry of the lease of a call that was sent and got no answer.
 func (a *Attempt) InDoubt() {
 	if a.phase == Sending {
-		a.next(Expiring)
+		a.enterPhase(Expiring)
 	}
 }
--- a/ledger/domains.go
+++ b/ledger/domains.go
@@ -5,15 +5,17 @@
 	"slices"
 )
 
-// Placement is how the replicas of a region lie in its failure domains.
+// Placement describes how the replicas of a region are spread over its failure domains.
 type Placement struct {
-	// Fatal is the first domain whose loss leaves fewer replicas than a majority, or "" if no known domain is such.
+	// Fatal is the first domain whose loss leaves fewer replicas than a majority, or "" if there is no such domain.
 	Fatal string
-	// Better holds replicas none of whose domains is fatal, or nothing if the region has too few domains; as many as can stay the same.
+	// Better holds slots for which no domain is fatal, or nothing if the region has too few domains. It keeps as many of
+	// the present slots as possible.
 	Better []string
 }
 
-// Place judges the replicas in the slots by the failure domains of the region's instances; a replica whose domain is not known counts in none.
+// Place evaluates the slots by the failure domains of the region's instances; domains maps an instance to its domain. A
+// replica whose domain is not known counts in none.
 func Place(slots []string, domains map[string]string) Placement {
 	fatal := fatalDomain(slots, domains)
 	if fatal == "" {
@@ -22,7 +24,7 @@
 	return Placement{Fatal: fatal, Better: spread(slots, domains)}
 }
 
-// fatalDomain returns the first domain in order that holds more replicas than a majority can miss.
+// fatalDomain returns the alphabetically first domain that holds more replicas than a majority can spare, or "".
 func fatalDomain(slots []string, domains map[string]string) string {
 	counts := map[string]int{}
 	for _, slot := range slots {
@@ -38,7 +40,8 @@
 	return ""
 }
 
-// spread takes replicas until each domain holds as many as a majority can miss, the present ones first.
+// spread selects as many slots as there are now, with no more in any domain than a majority can spare. It tries the
+// present slots first, and returns nil if the domains are too few.
 func spread(slots []string, domains map[string]string) []string {
 	var chosen []string
 	counts := map[string]int{}
--- a/ledger/domains_test.go
+++ b/ledger/domains_test.go
@@ -16,8 +16,12 @@
 		{"three domains", []string{"a0", "b0", "c0"}, Placement{}},
 		{"a majority in one domain", []string{"a0", "a1", "b0"}, Placement{Fatal: "a", Better: []string{"a0", "b0", "c0"}}},
 		{"all in one domain", []string{"a0", "a1", "a2"}, Placement{Fatal: "a", Better: []string{"a0", "b0", "c0"}}},
-		{"five replicas in two domains", []string{"a0", "a1", "b0", "b1", "a2"}, Placement{Fatal: "a", Better: []string{"a0", "a1", "b0", "b1", "c0"}}},
-		{"two replicas miss none", []string{"a0", "b0"}, Placement{Fatal: "a"}},
+		{
+			"five replicas in two domains",
+			[]string{"a0", "a1", "b0", "b1", "a2"},
+			Placement{Fatal: "a", Better: []string{"a0", "a1", "b0", "b1", "c0"}},
+		},
+		{"two replicas can spare none", []string{"a0", "b0"}, Placement{Fatal: "a"}},
 		{"unknown domains count in none", []string{"a0", "x", "y"}, Placement{}},
 		{"no replicas", nil, Placement{}},
 	}
--- a/ledger/machine_test.go
+++ b/ledger/machine_test.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	testWindow = 3 * time.Second
-	testLease  = 6 * time.Second
-	// machinesPerCase lets the default number of cases reach rare states.
+	testSendWindow = 3 * time.Second
+	testLease      = 6 * time.Second
+	// machinesPerCase is the number of groups in each rapid case; with ten, the default number of cases reaches rare
+	// states.
 	machinesPerCase = 10
 )
 
-// node is one replica with its disk, which may be absent.
+// node is one replica with its disk; a replica without one loses its memory in a crash.
 type node struct {
 	*Replica
 	hasDisk bool
 	disk    []Change
 	alive   bool
-	// todo are the steps of its keeper that wait to be run, one at a time.
-	todo []func()
+	// pendingSteps holds the steps of the replica's keeper that are still to be run, one at a time.
+	pendingSteps []func()
 }
 
-// message is a request on its way to a replica, or a reply on its way back.
+// message is a request in transit to a replica, or a reply in transit to the sender if to is empty.
 type message struct {
 	to      string
 	request Request
-	back    func(Reply)
+	onReply func(Reply)
 }
 
-// machine is a region's ledger under faults, with an oracle.
+// machine simulates the ledger of a region under faults and checks it against an oracle.
 type machine struct {
 	slots    []string
 	group    string
@@ -42,15 +43,15 @@
 	runs     int
 	inFlight []message
 	attempts []*testAttempt
-	// The oracle: tokens of first tries, dispatches and agreed endings by key.
+	// The oracle by key: the epoch of the first try, the number of dispatches and the agreed ending.
 	tokens     map[string]string
 	dispatches map[string]int
 	chosen     map[string]Value
-	// used holds the deepest states that were reached, for the test of the test.
-	used map[string]int
+	// coverage counts how often rare states were reached, to show that the test exercises them.
+	coverage map[string]int
 }
 
-// testAttempt is an attempt with the time of its claim.
+// testAttempt is an attempt with its key and the time of its claim.
 type testAttempt struct {
 	*Attempt
 	key   string
@@ -60,7 +61,7 @@
 func newMachine(n int, disks int) *machine {
 	m := &machine{
 		nodes: map[string]*node{}, now: time.Unix(1000, 0), tokens: map[string]string{},
-		dispatches: map[string]int{}, chosen: map[string]Value{}, used: map[string]int{},
+		dispatches: map[string]int{}, chosen: map[string]Value{}, coverage: map[string]int{},
 	}
 	for i := range n {
 		m.slots = append(m.slots, fmt.Sprint("r", i))
@@ -86,13 +87,13 @@
 func (m *machine) crash(slot string) {
 	n := m.nodes[slot]
 	n.alive = false
-	n.todo = nil
+	n.pendingSteps = nil
 	if !n.hasDisk {
 		n.disk = nil
 	}
 }
 
-// handle runs a request at a live replica and syncs its changes; ok is false if there is no answer.
+// handle sends a request to a replica and stores its changes; it returns false if the replica is down.
 func (m *machine) handle(slot string, r Request) (Reply, bool) {
 	n := m.nodes[slot]
 	if !n.alive {
@@ -110,10 +111,10 @@
 	}
 }
 
-// send puts a request to every replica on its way.
-func (m *machine) send(r Request, back func(Reply)) {
+// broadcast puts a request to every replica in transit.
+func (m *machine) broadcast(r Request, onReply func(Reply)) {
 	for _, slot := range m.slots {
-		m.inFlight = append(m.inFlight, message{to: slot, request: r, back: back})
+		m.inFlight = append(m.inFlight, message{to: slot, request: r, onReply: onReply})
 	}
 }
 
@@ -123,23 +124,23 @@
 	if !ok {
 		return
 	}
-	m.send(r, func(reply Reply) {
+	m.broadcast(r, func(reply Reply) {
 		a.Handle(phase, reply)
-		m.follow(a, phase)
+		m.continueAttempt(a, phase)
 	})
 }
 
-// follow goes on after a phase was decided.
-func (m *machine) follow(a *testAttempt, before Phase) {
+// continueAttempt starts the next phase of an attempt after the phase before was decided.
+func (m *machine) continueAttempt(a *testAttempt, before Phase) {
 	if a.Phase() == before {
 		return
 	}
 	if before == Claiming && !a.Claimed() {
-		m.judge(a)
+		m.resolveLostClaim(a)
 	}
 	if before == Completing && a.Chosen() {
-		m.agreed(a.key, a.Call().Value)
-		m.send(Request{Op: OpLearn, Group: m.group, Call: a.Call()}, func(Reply) {})
+		m.checkAgreed(a.key, a.Call().Value)
+		m.broadcast(Request{Op: OpLearn, Group: m.group, Call: a.Call()}, func(Reply) {})
 	}
 	if before == Completing && !a.Chosen() {
 		m.settle(a.Call(), Value{})
@@ -147,22 +148,22 @@
 	m.sendAttempt(a)
 }
 
-// judge looks at what a resend is told.
-func (m *machine) judge(a *testAttempt) {
+// resolveLostClaim checks the verdict on an attempt that lost its claim, and settles an ending that is not chosen yet.
+func (m *machine) resolveLostClaim(a *testAttempt) {
 	verdict, call := Judge(m.now, len(m.slots), a.Call().Attempt, a.Call().Digest, a.Seen())
-	m.used[fmt.Sprint("verdict ", verdict)]++
+	m.coverage[fmt.Sprint("verdict ", verdict)]++
 	switch {
 	case verdict == Answered && call.Chosen:
-		m.agreed(a.key, call.Value)
+		m.checkAgreed(a.key, call.Value)
 	case verdict == Answered:
 		m.settle(call, Value{})
 	case verdict == NoRoom:
-		m.fail(a.key, "told not run")
+		m.fail(a.key, "reported as not run")
 	}
 }
 
-// ask returns what an operator is told of a key by the replicas that are reached.
-func (m *machine) ask(k Key, reached []string) (Verdict, Record) {
+// readVerdict returns the verdict on a key, and its record, from the replicas that an operator reaches.
+func (m *machine) readVerdict(k Key, reached []string) (Verdict, Record) {
 	var replies []Reply
 	for _, slot := range reached {
 		if reply, ok := m.handle(slot, Request{Op: OpRead, Group: m.group, Call: Record{Key: k}}); ok {
@@ -185,14 +186,14 @@
 	if !ok {
 		return
 	}
-	m.send(r, func(reply Reply) {
+	m.broadcast(r, func(reply Reply) {
 		ended := s.Ended()
 		s.Handle(accepting, reply, proposed)
 		if v, ok := s.Chosen(); ok && !ended {
-			m.used["settled"]++
-			m.agreed(call.Key.Key, v)
+			m.coverage["settled"]++
+			m.checkAgreed(call.Key.Key, v)
 			call.Value = v
-			m.send(Request{Op: OpLearn, Group: m.group, Call: call}, func(Reply) {})
+			m.broadcast(Request{Op: OpLearn, Group: m.group, Call: call}, func(Reply) {})
 		}
 		if s.Accepting() != accepting {
 			m.sendSettlement(s, call, proposed)
@@ -200,8 +201,8 @@
 	})
 }
 
-// agreed checks that the ending of a key is the one that was agreed on before.
-func (m *machine) agreed(key string, v Value) {
+// checkAgreed checks that an agreed ending of a key equals the one that was agreed on before, if there is one.
+func (m *machine) checkAgreed(key string, v Value) {
 	if before, ok := m.chosen[key]; ok {
 		if diff := cmp.Diff(before, v); diff != "" {
 			m.fail(key, "another ending was agreed: "+diff)
@@ -214,7 +215,7 @@
 	panic(fmt.Sprintf("key %s with %d dispatches: %s", key, m.dispatches[key], what))
 }
 
-// epoch returns the epoch that callers are told.
+// epoch returns the epoch that callers get: the one with the most live active replicas.
 func (m *machine) epoch() string {
 	counts := map[string]int{}
 	for _, n := range m.nodes {
--- a/ledger/message.go
+++ b/ledger/message.go
@@ -1,96 +1,99 @@
 package ledger
 
-// Op is what a request asks of a replica.
+// Op is the operation that a request asks a replica to perform.
 type Op int
 
-// Requests to a replica.
+// Operations of a replica.
 const (
-	// OpStatus asks for the replica's status.
+	// OpStatus asks for the status of the replica.
 	OpStatus Op = iota
 	// OpRead asks for the record of a key.
 	OpRead
 	// OpClaim claims a key for an attempt.
 	OpClaim
-	// OpWithdraw gives up a claim whose call was not sent and never will be.
+	// OpWithdraw withdraws a claim whose call was not sent and never will be.
 	OpWithdraw
 	// OpExpire ends the lease of a claim whose call is in doubt.
 	OpExpire
-	// OpPrepare asks for a promise to accept no lower ballot.
+	// OpPrepare is the first phase of Paxos: it asks for a promise to accept no lower ballot.
 	OpPrepare
-	// OpAccept asks to accept an ending under a ballot.
+	// OpAccept is the second phase of Paxos: it asks to accept an ending under a ballot.
 	OpAccept
-	// OpLearn tells that an ending was chosen.
+	// OpLearn reports that an ending was chosen.
 	OpLearn
-	// OpList asks for a page of records after a key.
+	// OpList asks for a page of the records that follow a key.
 	OpList
-	// OpRecover announces a new incarnation of a replica that lost its memory, and asks for a page of records after a key.
+	// OpRecover announces a new incarnation of a replica that lost its memory, and asks for a page of the records that
+	// follow a key.
 	OpRecover
 	// OpFound proposes a new epoch.
 	OpFound
-	// OpOpen starts a new epoch that enough replicas agreed to.
+	// OpOpen starts a proposed epoch that a majority of the replicas accepted.
 	OpOpen
 )
 
 // Request is a request to one replica.
 type Request struct {
 	Op Op
-	// Group names the replica set; replicas of another set refuse.
+	// Group is the name of the replica set; a replica of another set refuses the request.
 	Group string
-	// Epoch is the epoch that the sender knows.
+	// Epoch is the epoch under which the sender makes the request.
 	Epoch string
-	// Call holds the key and, by the operation, the claim or the value.
+	// Call holds the key and, depending on the operation, the claim or the value.
 	Call   Record
 	Ballot Ballot
-	// Slot and Incarnation are the replica that recovers.
+	// Slot and Incarnation identify the replica that recovers.
 	Slot        string
 	Incarnation int64
-	// Nonce is the receiver's, as it told it in its status.
+	// Nonce is the receiver's nonce, as reported in its status.
 	Nonce string
-	// After is the key before the page.
+	// After is the last key before the page.
 	After Key
-	// DoubtfulOnly leaves out calls that need no operator.
+	// DoubtfulOnly limits the page to the calls in doubt, which an operator must settle.
 	DoubtfulOnly bool
 }
 
-// Refusal is why a replica did not do as asked.
+// Refusal is the reason why a replica did not perform the operation.
 type Refusal int
 
 // Refusals of a replica.
 const (
+	// Accepted means that the replica did not refuse the request.
 	Accepted Refusal = iota
-	// RefusedGroup says that the replica belongs to another replica set.
+	// RefusedGroup means that the replica belongs to another replica set.
 	RefusedGroup
-	// RefusedRecovering says that the replica has lost its memory and not yet recovered.
+	// RefusedRecovering means that the replica lost its memory and has not recovered yet.
 	RefusedRecovering
-	// RefusedEpoch says that the replica is in another epoch.
+	// RefusedEpoch means that the replica is in another epoch.
 	RefusedEpoch
-	// RefusedKnown says that the key has a record, which the reply holds.
+	// RefusedKnown means that the key already has a record, which the reply holds.
 	RefusedKnown
-	// RefusedBallot says that a higher ballot was promised.
+	// RefusedBallot means that the replica promised a higher ballot.
 	RefusedBallot
-	// RefusedLease says that the owner of the claim may still be at work.
+	// RefusedLease means that the lease of the claim has not expired, so that its owner may still be running the call.
 	RefusedLease
-	// RefusedFull says that the replica keeps as many calls as it may.
+	// RefusedFull means that the replica holds Limits.MaxCalls records.
 	RefusedFull
-	// RefusedNonce says that the request was meant for an earlier run of the replica.
+	// RefusedNonce means that the request was addressed to an earlier run of the replica, or that it names an
+	// incarnation that is outdated or an epoch that was not proposed to this run.
 	RefusedNonce
 )
 
-// Reply is the answer of one replica.
+// Reply is the reply of one replica.
 type Reply struct {
 	Slot    string
 	Refusal Refusal
-	// Active says that the replica has its memory.
+	// Active reports whether the replica holds its memory.
 	Active      bool
 	Epoch       string
 	Nonce       string
 	Incarnation int64
-	// Vector holds the highest known incarnation of each replica.
+	// Vector maps each slot to the highest known incarnation of its replica.
 	Vector map[string]int64
-	// Found says that Call holds a record.
+	// Found reports whether Call holds a record.
 	Found bool
 	Call  Record
 	Page  []Record
-	// More says that records follow the page.
+	// More reports whether records follow the page.
 	More bool
 }
--- a/ledger/keeping_test.go
+++ b/ledger/reconcile_test.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// keep plans the next step of a replica from the statuses of the replicas that it reaches.
-func (m *machine) keep(slot string, reached []string) {
+// planStep plans the next steps of a replica's keeper from the statuses of the replicas that it reaches.
+func (m *machine) planStep(slot string, reached []string) {
 	n := m.nodes[slot]
 	statuses := map[string]Reply{}
 	for _, other := range append(reached, slot) {
@@ -18,17 +18,17 @@
 	plan := Next(slot, len(m.slots), statuses)
 	switch plan.Step {
 	case StepAdopt:
-		n.todo = []func(){func() { n.Adopt(plan.Epoch); m.sync(slot) }}
+		n.pendingSteps = []func(){func() { n.Adopt(plan.Epoch); m.sync(slot) }}
 	case StepRecover:
-		n.todo = m.recovery(slot, plan)
+		n.pendingSteps = m.recoverySteps(slot, plan)
 	case StepFound:
-		n.todo = m.founding(statuses)
+		n.pendingSteps = m.foundingSteps(statuses)
 	default:
 	}
 }
 
-// recovery returns the steps of a recovery; a replica that gives no answer ends it.
-func (m *machine) recovery(slot string, plan Plan) []func() {
+// recoverySteps returns the steps of a recovery; it is abandoned if a replica refuses or does not answer.
+func (m *machine) recoverySteps(slot string, plan Plan) []func() {
 	n := m.nodes[slot]
 	var replies []Reply
 	var steps []func()
@@ -37,21 +37,22 @@
 			r := Request{Op: OpRecover, Group: m.group, Epoch: plan.Epoch, Slot: slot, Incarnation: plan.Incarnation}
 			reply, ok := m.handle(other, r)
 			if !ok || reply.Refusal != Accepted {
-				n.todo = nil
+				n.pendingSteps = nil
 				return
 			}
 			replies = append(replies, reply)
 		})
 	}
 	return append(steps, func() {
-		m.used["recovered"]++
+		m.coverage["recovered"]++
 		n.Recover(m.now, plan.Epoch, plan.Incarnation, replies)
 		m.sync(slot)
 	})
 }
 
-// founding returns the steps of a founding: a proposal to each replica, and the opening if a majority holds it.
-func (m *machine) founding(statuses map[string]Reply) []func() {
+// foundingSteps returns the steps of founding an epoch: a proposal to each replica, and the opening at each that
+// accepted if these are a majority.
+func (m *machine) foundingSteps(statuses map[string]Reply) []func() {
 	m.runs++
 	epoch := fmt.Sprint("epoch", m.runs)
 	held := map[string]bool{}
@@ -75,7 +76,7 @@
 			}
 			reply, ok := m.handle(slot, Request{Op: OpOpen, Group: m.group, Epoch: epoch, Nonce: statuses[slot].Nonce})
 			if ok && reply.Refusal == Accepted {
-				m.used["founded"]++
+				m.coverage["founded"]++
 				m.chosen = map[string]Value{}
 			}
 		})
@@ -83,25 +84,25 @@
 	return steps
 }
 
-// recoverAll lets the keeper of each replica run its steps and plan the next with all replicas reached.
+// recoverAll runs the pending steps of each live replica's keeper and plans the next ones with all replicas reachable.
 func (m *machine) recoverAll() {
 	for _, s := range m.slots {
-		for m.nodes[s].alive && len(m.nodes[s].todo) > 0 {
-			m.step(s)
+		for m.nodes[s].alive && len(m.nodes[s].pendingSteps) > 0 {
+			m.runStep(s)
 		}
 		if m.nodes[s].alive {
-			m.keep(s, m.slots)
+			m.planStep(s, m.slots)
 		}
 	}
 }
 
-// step runs one waiting step of a replica's keeper.
-func (m *machine) step(slot string) {
+// runStep runs the first pending step of a replica's keeper.
+func (m *machine) runStep(slot string) {
 	n := m.nodes[slot]
-	if !n.alive || len(n.todo) == 0 {
+	if !n.alive || len(n.pendingSteps) == 0 {
 		return
 	}
-	first := n.todo[0]
-	n.todo = n.todo[1:]
+	first := n.pendingSteps[0]
+	n.pendingSteps = n.pendingSteps[1:]
 	first()
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Key identifies a call: its caller and the caller's idempotency key.
+// Key identifies a call by its team and the idempotency key that the caller chose.
 type Key struct {
 	Team string
 	Key  string
 }
 
-// Compare orders keys by team and key.
+// Compare orders keys by team, then by idempotency key.
 func (k Key) Compare(other Key) int {
 	if c := strings.Compare(k.Team, other.Team); c != 0 {
 		return c
@@ -24,17 +24,17 @@
 
 // Endings of a call.
 const (
-	// Open calls have no ending that the replica knows of.
+	// Open means that no ending of the call is known.
 	Open Ending = iota
-	// Completed calls ran and have their outcome.
+	// Completed means that the call ran and its outcome is recorded.
 	Completed
-	// SettledRan calls ran, as an operator found, with an outcome that is not known.
+	// SettledRan means that an operator found that the call ran; its outcome is not known.
 	SettledRan
-	// SettledNotRun calls did not run, as an operator found.
+	// SettledNotRun means that an operator found that the call did not run.
 	SettledNotRun
 )
 
-// Outcome is the answer of a completed call; Body is empty and Kept false where the answer may not be stored.
+// Outcome is the answer to a completed call; Body is empty and Kept false where the answer may not be stored.
 type Outcome struct {
 	Status      int
 	ContentType string
@@ -42,20 +42,20 @@
 	Kept        bool
 }
 
-// Value is the ending of a call with its outcome, and who told it.
+// Value is the ending of a call with its outcome, and the instance or operator that reported it.
 type Value struct {
 	Ending  Ending
 	Outcome Outcome
 	By      string
 }
 
-// Ballot orders the proposals of an ending; the zero ballot is that of the attempt that claimed the key.
+// Ballot orders the proposals of an ending; the zero ballot belongs to the attempt that claimed the key.
 type Ballot struct {
 	Number   int64
 	Proposer string
 }
 
-// Less reports whether b is lower than other.
+// Less reports whether b is lower than other, by number and then by proposer.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Number != other.Number {
 		return b.Number < other.Number
@@ -63,54 +63,58 @@
 	return b.Proposer < other.Proposer
 }
 
-// Record is what a replica knows of one call; Digest identifies the content of its request.
+// Record is the state of one call at a replica; Digest identifies the content of its request.
 type Record struct {
 	Key     Key
 	Digest  string
 	Service string
-	// Attempt is the unique id of the claim, or empty if either of several may have won; Owner is the instance that made it.
+	// Attempt is the unique id of the claim, or empty if any of several conflicting claims may have won; Owner is the
+	// instance that made the claim.
 	Attempt   string
 	Owner     string
 	ClaimedAt time.Time
-	// Lease is how long the owner may take, from ClaimedAt.
+	// Lease is how long the owner may run the call, counted from ClaimedAt.
 	Lease     time.Duration
 	Withdrawn bool
 	Promised  Ballot
 	Accepted  Ballot
 	Value     Value
-	// Chosen says that the value was agreed and never changes.
+	// Chosen reports whether the value was agreed on; a chosen value never changes.
 	Chosen bool
 }
 
-// InProgress reports whether the owner of the claim may still be at work.
+// InProgress reports whether the owner of the claim may still be running the call: it is open and its lease has not
+// expired.
 func (c Record) InProgress(now time.Time) bool {
 	return !c.Withdrawn && c.Value.Ending == Open && now.Before(c.ClaimedAt.Add(c.Lease))
 }
 
-// Doubtful reports whether the call may have run and its owner's time is over without an ending.
+// Doubtful reports whether the call is in doubt: it may have run, and its lease expired without an ending.
 func (c Record) Doubtful(now time.Time) bool {
 	return !c.Withdrawn && c.Value.Ending == Open && !c.InProgress(now)
 }
 
-// merge returns what follows from two records of one key.
-func merge(now time.Time, a, b Record) Record {
+// mergeRecords combines two records of one key into the record that supersedes both.
+func mergeRecords(now time.Time, a, b Record) Record {
 	best, other := a, b
-	if stronger(now, b, a) {
+	if supersedes(now, b, a) {
 		best, other = b, a
 	}
 	if best.Promised.Less(other.Promised) {
 		best.Promised = other.Promised
 	}
-	rival := !best.Withdrawn && !other.Withdrawn && best.Value.Ending == Open && best.Attempt != other.Attempt
-	if rival {
-		// No withdrawal of one claim may hide the other.
+	conflicting := !best.Withdrawn && !other.Withdrawn && best.Value.Ending == Open && best.Attempt != other.Attempt
+	if conflicting {
+		// Either claim may have won, so the record must match neither attempt: a withdrawal of one claim must not hide
+		// the other.
 		best.Attempt = ""
 	}
 	return best
 }
 
-// stronger reports whether a says more than b: a chosen value, an accepted one, a claim, a withdrawn claim, in this order.
-func stronger(now time.Time, a, b Record) bool {
+// supersedes reports whether a takes precedence over b. The order is a chosen value, an accepted value (the higher
+// ballot first), an open claim (the later end of the lease first), a withdrawn claim.
+func supersedes(now time.Time, a, b Record) bool {
 	switch {
 	case a.Chosen != b.Chosen:
 		return a.Chosen
--- a/ledger/replica.go
+++ b/ledger/replica.go
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// Limits of one page of records.
+// Limits of one page of records: their number, and the size of the stored bodies in bytes. A page ends with the record
+// that makes the size exceed pageBytes.
 const (
 	pageRecords = 500
 	pageBytes   = 1 << 20
 )
 
-// firstIncarnation is the incarnation of each replica at the start of an epoch.
+// firstIncarnation is the incarnation of every replica at the start of an epoch.
 const firstIncarnation = 1
 
-// Limits bound a replica.
+// Limits are the bounds of a replica's store.
 type Limits struct {
 	// Retention is how long a record is kept after its claim.
 	Retention time.Duration
-	// MaxCalls is the most records that are kept.
+	// MaxCalls is the maximum number of records; nothing is evicted to make space for a new claim.
 	MaxCalls int
 }
 
-// Memory is what a replica must not forget, beside its records.
+// Memory is the durable state of a replica besides its records. Vector maps each slot to the highest known incarnation
+// of its replica.
 type Memory struct {
 	Group       string
 	Epoch       string
@@ -32,7 +34,8 @@
 	Vector      map[string]int64
 }
 
-// Change is what must be durable before a reply is sent: a memory, a record, or the key of a record to drop.
+// Change is a change of the durable state, to be stored before the reply is sent. Exactly one field is set: the memory,
+// a record to store, or the key of a record to delete.
 type Change struct {
 	Memory *Memory
 	Put    *Record
@@ -41,27 +44,27 @@
 
 // Replica is one replica of a region's ledger; it is not safe for concurrent use.
 type Replica struct {
-	slot    string
-	nonce   string
-	limits  Limits
-	memory  Memory
-	active  bool
-	held    string
-	calls   map[Key]Record
-	changes []Change
+	slot          string
+	nonce         string
+	limits        Limits
+	memory        Memory
+	active        bool
+	proposedEpoch string
+	calls         map[Key]Record
+	changes       []Change
 }
 
-// Group names the replica set of the slots.
+// Group returns the name of the replica set of the slots: the sorted slots, separated by commas.
 func Group(slots []string) string {
 	return strings.Join(slices.Sorted(slices.Values(slots)), ",")
 }
 
-// NewReplica returns a replica without memory; the nonce is unique to this run of it.
+// NewReplica returns an inactive replica without memory; the nonce must be unique to this run of the replica.
 func NewReplica(slot, group, nonce string, limits Limits) *Replica {
 	return &Replica{slot: slot, nonce: nonce, limits: limits, memory: Memory{Group: group}, calls: map[Key]Record{}}
 }
 
-// Restore takes a change that was durable before the start; leases of claims begin anew.
+// Restore applies a change that was stored in an earlier run; the leases of claims start again at now.
 func (r *Replica) Restore(now time.Time, c Change) {
 	switch {
 	case c.Memory != nil && c.Memory.Group == r.memory.Group:
@@ -77,14 +80,14 @@
 	}
 }
 
-// Changes returns and forgets the changes that must be durable before the replies since the last call are sent.
+// Changes returns and clears the changes since the last call; they must be durable before the replies are sent.
 func (r *Replica) Changes() []Change {
 	changes := r.changes
 	r.changes = nil
 	return changes
 }
 
-// Snapshot returns the changes that restore the replica's whole memory.
+// Snapshot returns the changes that restore the whole state of the replica, or nil if it is not active.
 func (r *Replica) Snapshot() []Change {
 	if !r.active {
 		return nil
@@ -100,7 +103,7 @@
 // Len returns the number of records.
 func (r *Replica) Len() int { return len(r.calls) }
 
-// Handle answers a request; changes that it made are returned by Changes.
+// Handle processes a request and returns the reply; Changes returns the changes that it made.
 func (r *Replica) Handle(now time.Time, m Request) Reply {
 	if m.Group != r.memory.Group {
 		return r.reply(RefusedGroup)
@@ -113,23 +116,23 @@
 	case OpList:
 		return r.page(now, m)
 	case OpFound:
-		return r.found(m)
+		return r.proposeEpoch(m)
 	case OpOpen:
-		return r.open(m)
+		return r.openEpoch(m)
 	case OpLearn:
 		return r.learn(m)
 	default:
 	}
 	if !r.active {
-		return r.withCall(RefusedRecovering, m.Call.Key)
+		return r.replyWithCall(RefusedRecovering, m.Call.Key)
 	}
 	if m.Epoch != r.memory.Epoch {
-		return r.withCall(RefusedEpoch, m.Call.Key)
+		return r.replyWithCall(RefusedEpoch, m.Call.Key)
 	}
 	return r.handleActive(now, m)
 }
 
-// handleActive answers the requests that only a replica with its memory may answer.
+// handleActive processes the requests that only an active replica may process.
 func (r *Replica) handleActive(now time.Time, m Request) Reply {
 	switch m.Op {
 	case OpClaim:
@@ -143,11 +146,11 @@
 	case OpAccept:
 		return r.accept(now, m)
 	default:
-		return r.recoverOther(now, m)
+		return r.handleRecover(now, m)
 	}
 }
 
-// Expire drops the records whose retention has ended.
+// Expire deletes the records whose retention has ended, except calls in doubt, which stay until they are settled.
 func (r *Replica) Expire(now time.Time) {
 	for k, call := range r.calls {
 		if call.Doubtful(now) || now.Sub(call.ClaimedAt) < r.limits.Retention {
@@ -170,8 +173,8 @@
 	}
 }
 
-// withCall returns a reply with the record of the key, if there is one.
-func (r *Replica) withCall(refusal Refusal, k Key) Reply {
+// replyWithCall returns a reply that holds the record of the key, if there is one.
+func (r *Replica) replyWithCall(refusal Refusal, k Key) Reply {
 	reply := r.reply(refusal)
 	reply.Call, reply.Found = r.calls[k]
 	return reply
@@ -182,7 +185,7 @@
 	r.changes = append(r.changes, Change{Put: &call})
 }
 
-func (r *Replica) remember() {
+func (r *Replica) saveMemory() {
 	memory := r.memory
 	memory.Vector = maps.Clone(r.memory.Vector)
 	r.changes = append(r.changes, Change{Memory: &memory})
@@ -190,59 +193,63 @@
 
 func (r *Replica) read(m Request) Reply {
 	if !r.active {
-		return r.withCall(RefusedRecovering, m.Call.Key)
+		return r.replyWithCall(RefusedRecovering, m.Call.Key)
 	}
-	return r.withCall(Accepted, m.Call.Key)
+	return r.replyWithCall(Accepted, m.Call.Key)
 }
 
-// claim takes a claim for a key that has none, or only a withdrawn one of another attempt.
+// claim accepts a claim of a key that has no record, or only the withdrawn claim of another attempt.
 func (r *Replica) claim(now time.Time, m Request) Reply {
 	k := m.Call.Key
 	old, ok := r.calls[k]
 	if ok && acknowledged(old, m.Call.Attempt) {
-		return r.withCall(Accepted, k)
+		return r.replyWithCall(Accepted, k)
 	}
 	if ok && (!old.Withdrawn || old.Attempt == m.Call.Attempt) {
-		return r.withCall(RefusedKnown, k)
+		return r.replyWithCall(RefusedKnown, k)
 	}
 	if !ok && len(r.calls) >= r.limits.MaxCalls {
 		return r.reply(RefusedFull)
 	}
 	r.put(newClaim(now, m.Call))
-	return r.withCall(Accepted, k)
+	return r.replyWithCall(Accepted, k)
 }
 
-// acknowledged reports whether the replica acknowledged the claim of the attempt and nothing has happened to it since.
+// acknowledged reports whether the record is the acknowledged claim of the attempt, unchanged since.
 func acknowledged(c Record, attempt string) bool {
 	return c.Attempt == attempt && !c.Withdrawn && c.Value.Ending == Open && c.Promised == Ballot{}
 }
 
-// newClaim returns the record of a claim that was received now.
+// newClaim returns the record of a claim that is received at now.
 func newClaim(now time.Time, c Record) Record {
-	return Record{Key: c.Key, Digest: c.Digest, Service: c.Service, Attempt: c.Attempt, Owner: c.Owner, ClaimedAt: now, Lease: c.Lease}
+	return Record{
+		Key: c.Key, Digest: c.Digest, Service: c.Service, Attempt: c.Attempt, Owner: c.Owner, ClaimedAt: now, Lease: c.Lease,
+	}
 }
 
-// withdraw marks a claim of the same attempt, which no ballot was promised for, as never to be sent.
+// withdraw marks the claim of the attempt as withdrawn, that is, never to be sent, unless a ballot was promised or an
+// ending accepted.
 func (r *Replica) withdraw(m Request) Reply {
 	call, ok := r.calls[m.Call.Key]
 	if ok && call.Attempt == m.Call.Attempt && call.Value.Ending == Open && call.Promised == (Ballot{}) {
 		call.Withdrawn = true
 		r.put(call)
 	}
-	return r.withCall(Accepted, m.Call.Key)
+	return r.replyWithCall(Accepted, m.Call.Key)
 }
 
-// expire ends the lease of a claim of the same attempt.
+// expire ends the lease of the claim of the attempt.
 func (r *Replica) expire(now time.Time, m Request) Reply {
 	call, ok := r.calls[m.Call.Key]
 	if ok && call.Attempt == m.Call.Attempt && call.InProgress(now) {
 		call.Lease = now.Sub(call.ClaimedAt)
 		r.put(call)
 	}
-	return r.withCall(Accepted, m.Call.Key)
+	return r.replyWithCall(Accepted, m.Call.Key)
 }
 
-// prepare promises to accept no ballot below the request's, once the claim's lease is over or an ending is known.
+// prepare promises to accept no ballot below that of the request. It refuses while the lease of the claim runs, unless
+// the request holds an ending.
 func (r *Replica) prepare(now time.Time, m Request) Reply {
 	k := m.Call.Key
 	call, ok := r.calls[k]
@@ -252,18 +259,18 @@
 	}
 	switch {
 	case call.Chosen:
-		return r.withCall(RefusedKnown, k)
+		return r.replyWithCall(RefusedKnown, k)
 	case call.InProgress(now) && m.Call.Value.Ending == Open:
-		return r.withCall(RefusedLease, k)
+		return r.replyWithCall(RefusedLease, k)
 	case !call.Promised.Less(m.Ballot):
-		return r.withCall(RefusedBallot, k)
+		return r.replyWithCall(RefusedBallot, k)
 	}
 	call.Promised = m.Ballot
 	r.put(call)
-	return r.withCall(Accepted, k)
+	return r.replyWithCall(Accepted, k)
 }
 
-// accept takes an ending unless a higher ballot was promised or another ending is chosen.
+// accept accepts an ending unless a higher ballot was promised or an ending is already chosen.
 func (r *Replica) accept(now time.Time, m Request) Reply {
 	k := m.Call.Key
 	call, ok := r.calls[k]
@@ -274,28 +281,28 @@
 	}
 	switch {
 	case call.Chosen:
-		return r.withCall(RefusedKnown, k)
+		return r.replyWithCall(RefusedKnown, k)
 	case m.Ballot.Less(call.Promised):
-		return r.withCall(RefusedBallot, k)
+		return r.replyWithCall(RefusedBallot, k)
 	}
 	call.Promised, call.Accepted, call.Value = m.Ballot, m.Ballot, m.Call.Value
 	r.put(call)
-	return r.withCall(Accepted, k)
+	return r.replyWithCall(Accepted, k)
 }
 
-// learn takes a chosen ending.
+// learn records a chosen ending.
 func (r *Replica) learn(m Request) Reply {
 	k := m.Call.Key
 	call, ok := r.calls[k]
 	if !r.active || !ok || call.Chosen {
-		return r.withCall(Accepted, k)
+		return r.replyWithCall(Accepted, k)
 	}
 	call.Chosen, call.Value, call.Withdrawn = true, m.Call.Value, false
 	r.put(call)
-	return r.withCall(Accepted, k)
+	return r.replyWithCall(Accepted, k)
 }
 
-// page returns the records after a key in the order of keys.
+// page returns one page of the records that follow a key, in the order of their keys.
 func (r *Replica) page(now time.Time, m Request) Reply {
 	reply := r.reply(Accepted)
 	var keys []Key
--- a/ledger/settlement.go
+++ b/ledger/settlement.go
@@ -1,8 +1,9 @@
 package ledger
 
-// Settlement agrees on the ending of a call without its owner; it is not safe for concurrent use.
+// Settlement runs both phases of Paxos to agree on the ending of a call without its owner; it is not safe for
+// concurrent use.
 //
-// It adopts an ending that a replica accepted before, and else proposes its own.
+// It adopts an ending that a replica has already accepted; otherwise it proposes its own.
 type Settlement struct {
 	n         int
 	group     string
@@ -17,12 +18,15 @@
 	tally     *Tally
 }
 
-// NewSettlement returns a settlement of the call; an ending within the call is known to be the owner's, and proposed is used if there is none.
+// NewSettlement returns a settlement of the call under the ballot. An ending in the call must be one that
+// the owner proposed or a replica accepted; if there is none, the settlement proposes the value that is passed to
+// Handle.
 func NewSettlement(n int, group, epoch string, call Record, ballot Ballot) *Settlement {
 	return &Settlement{n: n, group: group, epoch: epoch, call: call, ballot: ballot, tally: NewTally(n)}
 }
 
-// Request returns the request to be sent to each replica; ok is false if the settlement has ended.
+// Request returns the request of the current phase, to be sent to every replica; ok is false if the settlement has
+// ended.
 func (s *Settlement) Request() (m Request, ok bool) {
 	m = Request{Op: OpPrepare, Group: s.group, Epoch: s.epoch, Call: s.call, Ballot: s.ballot}
 	if s.accepting {
@@ -31,19 +35,19 @@
 	return m, !s.ended
 }
 
-// Accepting reports whether the settlement has passed its first phase.
+// Accepting reports whether the settlement is in its second phase.
 func (s *Settlement) Accepting() bool { return s.accepting }
 
-// Ended reports whether the settlement waits for nothing more.
+// Ended reports whether the settlement is over, with or without an agreed ending.
 func (s *Settlement) Ended() bool { return s.ended }
 
-// Chosen returns the agreed ending; ok is false if there is none.
+// Chosen returns the agreed ending; ok is false if no ending was agreed on.
 func (s *Settlement) Chosen() (v Value, ok bool) { return s.call.Value, s.chosen }
 
-// Refused returns why the settlement failed.
+// Refused returns the last refusal of a replica, or Accepted if there was none.
 func (s *Settlement) Refused() Refusal { return s.refused }
 
-// Handle takes a reply to the request of a phase, and the operator's value to propose if no replica has accepted one.
+// Handle processes a reply to the request of a phase; proposed is the value to propose if no replica has accepted one.
 func (s *Settlement) Handle(accepting bool, r Reply, proposed Value) {
 	if s.ended || accepting != s.accepting {
 		return
@@ -75,7 +79,7 @@
 // GiveUp ends the settlement without a majority.
 func (s *Settlement) GiveUp() { s.ended = true }
 
-// adopt takes the ending with the highest ballot that a replica reports in the first phase.
+// adopt keeps, in the first phase, the accepted ending with the highest ballot of those that the replicas report.
 func (s *Settlement) adopt(r Reply) {
 	if s.accepting || r.Refusal != Accepted || !r.Found || r.Call.Value.Ending == Open {
 		return
--- a/ledger/tally.go
+++ b/ledger/tally.go
@@ -11,12 +11,12 @@
 	replies map[string]Reply
 }
 
-// NewTally returns a tally of n replicas without replies.
+// NewTally returns an empty tally for n replicas.
 func NewTally(n int) *Tally {
 	return &Tally{n: n, replies: map[string]Reply{}}
 }
 
-// Add takes the reply of a replica; only the first of each counts.
+// Add counts the reply of a replica; later replies of the same replica are ignored.
 func (t *Tally) Add(r Reply) {
 	if _, ok := t.replies[r.Slot]; !ok {
 		t.replies[r.Slot] = r
@@ -26,7 +26,8 @@
 // Full reports whether every replica has replied.
 func (t *Tally) Full() bool { return len(t.replies) == t.n }
 
-// Won reports whether a majority accepted in one epoch, leaving out acknowledgements given before a loss of memory.
+// Won reports whether a majority accepted in one epoch. Acknowledgements that a replica gave before it lost its memory,
+// under an incarnation lower than the highest that any reply reports, do not count.
 func (t *Tally) Won() bool {
 	vectors := map[string]map[string]int64{}
 	counts := map[string]int{}
@@ -34,7 +35,7 @@
 		if vectors[r.Epoch] == nil {
 			vectors[r.Epoch] = map[string]int64{}
 		}
-		raise(vectors[r.Epoch], r.Vector)
+		mergeVector(vectors[r.Epoch], r.Vector)
 	}
 	for _, r := range t.replies {
 		if r.Refusal == Accepted && r.Active && r.Incarnation >= vectors[r.Epoch][r.Slot] {
@@ -49,7 +50,7 @@
 	return false
 }
 
-// Lost reports whether the replies still missing cannot make a majority.
+// Lost reports whether no majority is possible any more, whatever the missing replies say.
 func (t *Tally) Lost() bool {
 	accepted := 0
 	for _, r := range t.replies {
@@ -60,7 +61,7 @@
 	return accepted+t.n-len(t.replies) < Quorum(t.n) || (t.Full() && !t.Won())
 }
 
-// Ended reports whether a reply told the ending of the call.
+// Ended reports whether a reply holds an ending of the call.
 func (t *Tally) Ended() bool {
 	for _, r := range t.replies {
 		if r.Found && r.Call.Value.Ending != Open {
@@ -70,7 +71,7 @@
 	return false
 }
 
-// Replies returns the replies so far in the order of the replicas.
+// Replies returns the replies so far, sorted by slot.
 func (t *Tally) Replies() []Reply {
 	replies := make([]Reply, 0, len(t.replies))
 	for _, slot := range slices.Sorted(maps.Keys(t.replies)) {
--- a/ledger/token.go
+++ b/ledger/token.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// tokenSeparator stands between the epoch and the time of a token.
+// tokenSeparator separates the epoch of a token from its time of issue.
 const tokenSeparator = "."
 
-// Token tells callers the epoch of the ledger and when they were told; it goes with the first try of a key and all later ones.
+// Token carries the epoch of the ledger and the time at which it was issued to the caller. Callers send the same token
+// with the first try of a key and with every later one.
 type Token struct {
 	Epoch  string
 	Issued time.Time
 }
 
-// String returns the text of the token, or "" if there is no epoch.
+// String returns the text of the token: the epoch, a separator and the time of issue in Unix seconds. It returns "" if
+// the token has no epoch.
 func (t Token) String() string {
 	if t.Epoch == "" {
 		return ""
@@ -23,7 +25,7 @@
 	return t.Epoch + tokenSeparator + strconv.FormatInt(t.Issued.Unix(), 10)
 }
 
-// ParseToken returns the token of a text; ok is false if the text is none.
+// ParseToken parses the text of a token; ok is false if the text is not a token.
 func ParseToken(text string) (t Token, ok bool) {
 	epoch, issued, found := strings.Cut(text, tokenSeparator)
 	seconds, err := strconv.ParseInt(issued, 10, 64)
@@ -33,7 +35,8 @@
 	return Token{Epoch: epoch, Issued: time.Unix(seconds, 0)}, true
 }
 
-// Fresh reports whether records of a key that was first tried under the token cannot have been dropped by retention.
+// Fresh reports whether the token is younger than the retention, so that no record of a key that was first tried under
+// it can have expired.
 func (t Token) Fresh(now time.Time, retention time.Duration) bool {
 	return now.Sub(t.Issued) < retention
 }
--- a/ledger/verdict.go
+++ b/ledger/verdict.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Verdict is what the replicas know of a key that was not claimed.
+// Verdict is the state of a key that was not claimed, as the replies of the replicas show it.
 type Verdict int
 
 // Verdicts.
 const (
-	// Unavailable says that too few replicas answered to tell.
+	// Unavailable means that too few replicas answered to decide.
 	Unavailable Verdict = iota
-	// Stale says that the key is not known and may have been tried before the replicas lost their memory.
+	// Stale means that the key is not known, and that it may have been tried in an epoch whose records are lost.
 	Stale
-	// NoRoom says that the key is new and the replicas keep as many calls as they may.
+	// NoRoom means that the key is not known and a majority of the replicas is full.
 	NoRoom
-	// Reused says that the key belongs to another request.
+	// Reused means that the key belongs to a request with another content.
 	Reused
-	// Running says that the call is in progress.
+	// Running means that the call is in progress.
 	Running
-	// InDoubt says that the call may have run.
+	// InDoubt means that the call may have run and its lease has expired.
 	InDoubt
-	// Answered says that the call has an ending, agreed or not.
+	// Answered means that the call has an ending, which may not be agreed on yet.
 	Answered
 )
 
-// Judge returns the verdict on an attempt from replies to its lost claim or to a read, with the record that it rests on; an empty digest fits every record.
+// Judge derives the verdict for an attempt from the replies to its lost claim or to a read, and returns it with the
+// record that it is based on. An empty digest matches every record.
 func Judge(now time.Time, n int, attempt, digest string, replies []Reply) (Verdict, Record) {
-	best, found := strongest(now, attempt, replies)
+	best, found := selectRecord(now, attempt, replies)
 	switch {
 	case !found:
 		return judgeUnknown(n, replies), Record{}
@@ -40,14 +41,15 @@
 	}
 }
 
-// strongest returns the record that says most; withdrawn claims and the attempt's own count as none.
-func strongest(now time.Time, attempt string, replies []Reply) (best Record, found bool) {
+// selectRecord returns the record that takes precedence over the others. Withdrawn claims and the claim of the attempt
+// itself are ignored.
+func selectRecord(now time.Time, attempt string, replies []Reply) (best Record, found bool) {
 	for _, r := range replies {
 		own := attempt != "" && r.Call.Attempt == attempt
 		if !r.Found || r.Call.Withdrawn || own {
 			continue
 		}
-		if !found || stronger(now, r.Call, best) {
+		if !found || supersedes(now, r.Call, best) {
 			best, found = r.Call, true
 		}
 	}
