--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -11,8 +11,8 @@
 var start = time.Unix(1000, 0)
 
 func TestUses(t *testing.T) {
-	k := Key{Team: "lahore-club", Class: "plan", Model: "dastarkhwan-menu"}
-	u := NewUses()
+	k := UsageKey{Team: "lahore-club", Class: "plan", Model: "dastarkhwan-menu"}
+	u := NewUsageEstimator()
 	if got := u.Quantile(k, 0.9, 1024); got != 1024 {
 		t.Errorf("%d tokens reserved without samples", got)
 	}
@@ -22,14 +22,14 @@
 	}
 	tests := []struct {
 		name     string
-		key      Key
+		key      UsageKey
 		asked    int
 		low, top int
 	}{
 		{"learned", k, 1024, 130, 152},
 		{"never more than asked", k, 60, 60, 60},
-		{"another team of the class", Key{Team: "karachi-club", Class: "plan", Model: "dastarkhwan-menu"}, 1024, 130, 152},
-		{"another model", Key{Team: "lahore-club", Class: "plan", Model: "dish-check"}, 1024, 1024, 1024},
+		{"another team of the class", UsageKey{Team: "karachi-club", Class: "plan", Model: "dastarkhwan-menu"}, 1024, 130, 152},
+		{"another model", UsageKey{Team: "lahore-club", Class: "plan", Model: "dish-check"}, 1024, 1024, 1024},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -225,7 +225,7 @@
 }
 
 func TestAudit(t *testing.T) {
-	a := &Audit{}
+	a := &RefusalAudit{}
 	a.Refused(100, 50, start.Add(time.Minute))
 	a.Refused(100, 50, start.Add(time.Second))
 	a.Refused(100, 50, start.Add(time.Minute))
@@ -240,8 +240,8 @@
 }
 
 func BenchmarkDecision(b *testing.B) {
-	u := NewUses()
-	k := Key{Team: "lahore-club", Class: "plan", Model: "dastarkhwan-menu"}
+	u := NewUsageEstimator()
+	k := UsageKey{Team: "lahore-club", Class: "plan", Model: "dastarkhwan-menu"}
 	for range 100 {
 		u.Record(k, 100)
 	}
--- a/admission/decide.go
+++ b/admission/decide.go
@@ -26,8 +26,8 @@
 	return Verdict{Queue: late <= 0, RetryAfter: max(late, minRetryAfter), Estimate: e}
 }
 
-// Rate estimates how fast waiting work starts, in tokens per second of the time in which work waits.
-type Rate struct {
+// StartRate estimates how fast waiting work starts, in tokens per second of the time in which work waits.
+type StartRate struct {
 	perSecond float64
 	since     time.Time
 	waiting   bool
@@ -36,7 +36,7 @@
 }
 
 // PerSecond returns the estimated rate in tokens per second, or initial while there is no estimate.
-func (r *Rate) PerSecond(initial float64) float64 {
+func (r *StartRate) PerSecond(initial float64) float64 {
 	if r.perSecond == 0 {
 		return initial
 	}
@@ -44,16 +44,16 @@
 }
 
 // Begin records that work starts to wait while none waited before.
-func (r *Rate) Begin(now time.Time) { r.since, r.waiting = now, true }
+func (r *StartRate) Begin(now time.Time) { r.since, r.waiting = now, true }
 
 // End records that no work waits any more.
-func (r *Rate) End(now time.Time) {
+func (r *StartRate) End(now time.Time) {
 	r.addBusyTime(now)
 	r.waiting = false
 }
 
 // Started records that waiting work of that many tokens has started.
-func (r *Rate) Started(now time.Time, tokens int) {
+func (r *StartRate) Started(now time.Time, tokens int) {
 	r.tokens += tokens
 	r.addBusyTime(now)
 	if r.busy < rateWindow {
@@ -67,7 +67,7 @@
 	r.busy, r.tokens = 0, 0
 }
 
-func (r *Rate) addBusyTime(now time.Time) {
+func (r *StartRate) addBusyTime(now time.Time) {
 	if r.waiting {
 		r.busy += now.Sub(r.since)
 		r.since = now
@@ -81,9 +81,9 @@
 	latestStart time.Time
 }
 
-// Audit checks refusals in hindsight: a refusal was wrong if the work ahead of it, including earlier refusals that are
-// still tracked, would have started in time for the request.
-type Audit struct {
+// RefusalAudit checks refusals in hindsight: a refusal was wrong if the work ahead of it, including earlier refusals
+// that are still tracked, would have started in time for the request.
+type RefusalAudit struct {
 	startedTokens int64
 	tracked       []trackedRefusal
 	total         int
@@ -92,7 +92,7 @@
 
 // Refused records the refusal of a request, with the tokens that waited ahead of it, its own tokens and its latest
 // start.
-func (a *Audit) Refused(ahead, tokens int, latestStart time.Time) {
+func (a *RefusalAudit) Refused(ahead, tokens int, latestStart time.Time) {
 	a.total++
 	for _, r := range a.tracked {
 		ahead += r.tokens
@@ -103,7 +103,7 @@
 }
 
 // Started records that work of that many tokens has started.
-func (a *Audit) Started(now time.Time, tokens int) {
+func (a *RefusalAudit) Started(now time.Time, tokens int) {
 	a.startedTokens += int64(tokens)
 	kept := a.tracked[:0]
 	for _, r := range a.tracked {
@@ -119,4 +119,4 @@
 }
 
 // Refusals returns the number of refusals and of wrong ones among them.
-func (a *Audit) Refusals() (all, wrong int) { return a.total, a.wrong }
+func (a *RefusalAudit) Refusals() (all, wrong int) { return a.total, a.wrong }
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -27,7 +27,7 @@
 	rateGain   = 0.3
 )
 
-// maxTrackedRefusals is the number of refusals that an Audit tracks at a time.
+// maxTrackedRefusals is the number of refusals that a RefusalAudit tracks at a time.
 const maxTrackedRefusals = 256
 
 // minRetryAfter is the shortest delay after which a refused caller is asked to retry.
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -17,14 +17,14 @@
 // Overrun returns the number of tokens that running requests use beyond what could be reserved.
 func (p *Pool) Overrun() int { return p.overrun }
 
-// Room reports whether the tokens can be reserved.
-func (p *Pool) Room(tokens int) bool {
+// Fits reports whether the tokens can be reserved.
+func (p *Pool) Fits(tokens int) bool {
 	return p.capacity == 0 || p.reserved+p.overrun+tokens <= p.capacity
 }
 
 // Reserve reserves tokens; ok is false if the pool's capacity does not suffice.
 func (p *Pool) Reserve(tokens int) (r *Reservation, ok bool) {
-	if !p.Room(tokens) {
+	if !p.Fits(tokens) {
 		return nil, false
 	}
 	p.reserved += tokens
@@ -53,7 +53,7 @@
 		return
 	}
 	step := max(int(float64(r.tokens)*growthFraction), used-r.tokens-r.overrun, 1)
-	if r.pool.Room(step) {
+	if r.pool.Fits(step) {
 		r.pool.reserved += step
 		r.tokens += step
 		return
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -4,8 +4,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Key identifies requests that are expected to use similar numbers of tokens.
-type Key struct {
+// UsageKey identifies requests that are expected to use similar numbers of tokens.
+type UsageKey struct {
 	Team  string
 	Class string
 	Model string
@@ -13,8 +13,8 @@
 
 // withFallbacks returns the key, that of all teams' requests of the class and model, and that of all requests of the
 // model.
-func (k Key) withFallbacks() [3]Key {
-	return [3]Key{k, {Class: k.Class, Model: k.Model}, {Model: k.Model}}
+func (k UsageKey) withFallbacks() [3]UsageKey {
+	return [3]UsageKey{k, {Class: k.Class, Model: k.Model}, {Model: k.Model}}
 }
 
 // sketch is a histogram of the tokens that requests used, in which older samples lose weight.
@@ -52,19 +52,19 @@
 	s.total /= 2
 }
 
-// Uses estimates how many tokens requests use from those that have completed.
-type Uses struct {
-	sketches map[Key]*sketch
+// UsageEstimator estimates how many tokens requests use from those that have completed.
+type UsageEstimator struct {
+	sketches map[UsageKey]*sketch
 	clock    uint64
 }
 
-// NewUses returns an estimator without samples.
-func NewUses() *Uses {
-	return &Uses{sketches: map[Key]*sketch{}}
+// NewUsageEstimator returns an estimator without samples.
+func NewUsageEstimator() *UsageEstimator {
+	return &UsageEstimator{sketches: map[UsageKey]*sketch{}}
 }
 
 // Record records the number of tokens that a completely answered request has used.
-func (u *Uses) Record(k Key, tokens int) {
+func (u *UsageEstimator) Record(k UsageKey, tokens int) {
 	tokens = min(max(tokens, 1), maxTokens)
 	for _, key := range k.withFallbacks() {
 		u.sketch(key).record(tokens)
@@ -74,7 +74,7 @@
 // Quantile returns the quantile q of the tokens that similar requests have used, at most asked. While there are too
 // few samples of the team, it is that of all teams' requests of the class, then that of all requests of the model, and
 // then asked.
-func (u *Uses) Quantile(k Key, q float64, asked int) int {
+func (u *UsageEstimator) Quantile(k UsageKey, q float64, asked int) int {
 	s := u.lookup(k)
 	if s == nil || q <= 0 {
 		return asked
@@ -84,7 +84,7 @@
 
 // Mean returns the mean number of tokens that similar requests have used, at most asked; while there are too few
 // samples, it is a quarter of asked.
-func (u *Uses) Mean(k Key, asked int) int {
+func (u *UsageEstimator) Mean(k UsageKey, asked int) int {
 	s := u.lookup(k)
 	if s == nil {
 		return int(priorFraction * float64(asked))
@@ -92,15 +92,15 @@
 	return min(int(s.total/int64(s.samples)), asked)
 }
 
-// Likely returns the same quantile as Quantile; while there are too few samples, it is a quarter of asked.
-func (u *Uses) Likely(k Key, q float64, asked int) int {
+// QuantileOrPrior returns the same quantile as Quantile; while there are too few samples, it is a quarter of asked.
+func (u *UsageEstimator) QuantileOrPrior(k UsageKey, q float64, asked int) int {
 	if u.lookup(k) == nil {
 		return int(priorFraction * float64(asked))
 	}
 	return u.Quantile(k, q, asked)
 }
 
-func (u *Uses) lookup(k Key) *sketch {
+func (u *UsageEstimator) lookup(k UsageKey) *sketch {
 	for _, key := range k.withFallbacks() {
 		if s := u.sketches[key]; s != nil && s.samples >= minSamples {
 			u.clock++
@@ -113,7 +113,7 @@
 
 // sketch returns the sketch of the key, which it adds if there is none; of too many the least recently used one is
 // evicted.
-func (u *Uses) sketch(k Key) *sketch {
+func (u *UsageEstimator) sketch(k UsageKey) *sketch {
 	u.clock++
 	if s := u.sketches[k]; s != nil {
 		s.usedAt = u.clock
@@ -128,8 +128,8 @@
 	return s
 }
 
-func (u *Uses) evictOldest() {
-	var oldest Key
+func (u *UsageEstimator) evictOldest() {
+	var oldest UsageKey
 	at := u.clock + 1
 	for k, s := range u.sketches {
 		if s.usedAt < at {
--- a/capacity/admit.go
+++ b/capacity/admit.go
@@ -44,35 +44,35 @@
 	}
 }
 
-// Asked is the time budget of a request.
-type Asked struct {
-	// Objective is the time left until the response should begin, and Left the time until the caller abandons the
-	// request.
+// TimeBudget is the time budget of a request.
+type TimeBudget struct {
+	// Objective is the time left until the response should begin, and Remaining the time until the caller abandons
+	// the request.
 	Objective time.Duration
-	Left      time.Duration
-	// WholeObjective is the objective of the route.
-	WholeObjective time.Duration
-	// Returned reports whether the request is a retry after a refusal.
-	Returned bool
+	Remaining time.Duration
+	// RouteObjective is the objective of the route.
+	RouteObjective time.Duration
+	// Retried reports whether the request is a retry after a refusal.
+	Retried bool
 }
 
-// Returned reports whether a request with that much time left is a retry after a refusal. Callers count their time from
+// IsRetry reports whether a request with that much time left is a retry after a refusal. Callers count their time from
 // the first attempt, so a retry has less left than longest, the longest time left seen on the route.
-func Returned(left, longest time.Duration) bool {
+func IsRetry(left, longest time.Duration) bool {
 	return float64(left) < retryTimeShare*float64(longest)
 }
 
 // Admit decides whether to admit a request. expected is the expected time to the first chunk at the request's own rank,
 // and late the same if it is sent with a rank below all requests that can be on time.
-func Admit(expected, late time.Duration, a Asked) Verdict {
-	if expected <= time.Duration(onTimeShare*float64(a.Objective)) {
+func Admit(expected, late time.Duration, budget TimeBudget) Verdict {
+	if expected <= time.Duration(onTimeShare*float64(budget.Objective)) {
 		return Take
 	}
 	factor := lateFactor
-	if a.Returned {
+	if budget.Retried {
 		factor = retryLateFactor
 	}
-	if late <= time.Duration(factor*float64(a.WholeObjective)) && late <= time.Duration(firstChunkShare*float64(a.Left)) {
+	if late <= time.Duration(factor*float64(budget.RouteObjective)) && late <= time.Duration(firstChunkShare*float64(budget.Remaining)) {
 		return TakeLate
 	}
 	return Refuse
@@ -81,7 +81,7 @@
 // RetryAfter returns the time after which a refused request should be retried: half of the time by which expected
 // exceeds half of the objective, in which the backlog falls, and up to twice as much again by the draw in [0, 1), so
 // that retries do not all arrive together. It is at most a third of the time left, or minRetryAfter if that is longer.
-func RetryAfter(expected time.Duration, a Asked, draw float64) time.Duration {
-	excess := max(expected-a.WholeObjective/2, minRetryAfter)
-	return min(excess/2+time.Duration(draw*float64(excess)), max(a.Left/3, minRetryAfter))
+func RetryAfter(expected time.Duration, budget TimeBudget, draw float64) time.Duration {
+	excess := max(expected-budget.RouteObjective/2, minRetryAfter)
+	return min(excess/2+time.Duration(draw*float64(excess)), max(budget.Remaining/3, minRetryAfter))
 }
--- a/capacity/choose.go
+++ b/capacity/choose.go
@@ -45,12 +45,13 @@
 	// hold; zero means no limit.
 	Slots  int
 	Memory int64
-	// KeptParts is the number of leading shared parts of the request's prompt that the endpoint has recently prefilled.
-	KeptParts int
+	// CachedParts is the number of leading shared parts of the request's prompt that the endpoint has recently
+	// prefilled.
+	CachedParts int
 	// Busy is the share of time that the endpoint spends on prefill.
 	Busy float64
-	// Failing is the recent share of failed requests at the endpoint, over all gateways.
-	Failing float64
+	// FailureRate is the recent share of failed requests at the endpoint, over all gateways.
+	FailureRate float64
 	// Remote reports whether the endpoint is in another failure domain than the gateway.
 	Remote bool
 }
@@ -61,38 +62,38 @@
 	// Expected is the expected time to the first chunk, and Cost that time plus all other costs of the endpoint.
 	Expected time.Duration
 	Cost     time.Duration
-	// Unread is the number of uncached prompt tokens that the endpoint has to prefill.
-	Unread int64
-	// Keeper is the index of the candidate from which the endpoint fetches the shared parts of the prompt, or -1 if
+	// UncachedTokens is the number of uncached prompt tokens that the endpoint has to prefill.
+	UncachedTokens int64
+	// FetchFrom is the index of the candidate from which the endpoint fetches the shared parts of the prompt, or -1 if
 	// none.
-	Keeper int
-	// Favourite reports whether the request's last shared part is hashed to the endpoint.
-	Favourite bool
+	FetchFrom int
+	// Preferred reports whether the request's last shared part is hashed to the endpoint.
+	Preferred bool
 	// Full reports whether the endpoint has no free slot or memory, so that the request waits for another one to end.
 	Full bool
 }
 
-// Prospect is the expected wait of a request at an endpoint.
-type Prospect struct {
+// WaitEstimate is the expected wait of a request at an endpoint.
+type WaitEstimate struct {
 	// Wait is the expected time to the first chunk.
 	Wait time.Duration
 	// Full reports whether the request waits for a slot or memory.
 	Full bool
 }
 
-// Expected estimates the wait of w at c if the endpoint has to prefill that many uncached tokens.
-func Expected(c Candidate, w Work, uncached int64, s Speed) Prospect {
+// EstimateWait estimates the wait of w at c if the endpoint has to prefill that many uncached tokens.
+func EstimateWait(c Candidate, w Work, uncached int64, s Speed) WaitEstimate {
 	d := s.Base + inflateWait(
-		s.Token*time.Duration(c.Outstanding.PromptTokens.Before(w.Rank)+uncached), s.Overtaking.Reading[w.Rank],
+		s.PrefillTokenTime*time.Duration(c.Outstanding.PromptTokens.Before(w.Rank)+uncached), s.Overtaking.Prefill[w.Rank],
 	)
 	slot := slotWait(c, w.Rank, s)
 	d += slot
 	memoryFull := c.Memory > 0 &&
 		float64(c.Outstanding.HeldTokens+uncached+w.OutputTokens) > maxMemoryShare*float64(c.Memory)
 	if memoryFull {
-		d += s.Whole / 2
+		d += s.SlotTime / 2
 	}
-	return Prospect{Wait: time.Duration(float64(d) * c.Health.Slowdown()), Full: slot > 0 || memoryFull}
+	return WaitEstimate{Wait: time.Duration(float64(d) * c.Health.Slowdown()), Full: slot > 0 || memoryFull}
 }
 
 // slotWait returns the expected time until a request of the rank gets a slot: enough running requests have to end, and
@@ -103,7 +104,7 @@
 	if c.Slots == 0 || ahead <= 0 {
 		return 0
 	}
-	return inflateWait(s.Whole*time.Duration(ahead)/time.Duration(c.Slots), s.Overtaking.Slots[rank])
+	return inflateWait(s.SlotTime*time.Duration(ahead)/time.Duration(c.Slots), s.Overtaking.Slots[rank])
 }
 
 // DecodeCost returns the cost of the slower decoding at an endpoint that spends the share busy of its time on prefill.
@@ -121,11 +122,11 @@
 	ties := 0
 	preferred := preferredCandidate(candidates, w)
 	fetchable := preferred >= 0 && fetch > 0 && candidates[preferred].canServeFetches()
-	minUncached := w.Unread(len(w.Shared()))
+	minUncached := w.UncachedTokens(len(w.Shared()))
 	baseline := baselineFailureRate(candidates)
 	for i, c := range candidates {
-		uncached, source := w.Unread(c.KeptParts), -1
-		extra := time.Duration(sharedPrefixCost * float64(s.Token) * float64(uncached-minUncached))
+		uncached, source := w.UncachedTokens(c.CachedParts), -1
+		extra := time.Duration(sharedPrefixCost * float64(s.PrefillTokenTime) * float64(uncached-minUncached))
 		switch {
 		case i == preferred:
 			// All gateways agree on the preferred endpoint, so it has cached the parts even if this gateway has not
@@ -135,7 +136,7 @@
 			extra = time.Duration(fetchCostShare*float64(extra)) + fetch*time.Duration(uncached-minUncached)
 			uncached, source = minUncached, preferred
 		}
-		e := Expected(c, w, uncached, s)
+		e := EstimateWait(c, w, uncached, s)
 		if c.Remote {
 			extra += remoteByteCost * time.Duration(w.Bytes)
 		}
@@ -157,7 +158,7 @@
 			continue
 		}
 		best = Choice{
-			Index: i, Expected: e.Wait, Cost: cost, Unread: uncached, Keeper: source, Favourite: i == preferred, Full: e.Full,
+			Index: i, Expected: e.Wait, Cost: cost, UncachedTokens: uncached, FetchFrom: source, Preferred: i == preferred, Full: e.Full,
 		}
 		bestCost = cost
 	}
--- a/capacity/choose_test.go
+++ b/capacity/choose_test.go
@@ -32,7 +32,7 @@
 	for subject := range 50 {
 		w := plan(fmt.Sprintf("subject-%d", subject))
 		first, ok := Choose(candidates(5), w, NewSpeed(), 0, time.Second, rng.Float64())
-		if !ok || !first.Favourite {
+		if !ok || !first.Preferred {
 			t.Fatalf("subject %d: %+v", subject, first)
 		}
 		for range 10 {
@@ -56,7 +56,7 @@
 		all[preferred.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{c.backlog}}
 		got, _ := Choose(all, w, NewSpeed(), 0, time.Second, 0)
 		if (got.Index == preferred.Index) != c.stays {
-			t.Errorf("backlog %d: engine %d, favourite %d", c.backlog, got.Index, preferred.Index)
+			t.Errorf("backlog %d: engine %d, preferred %d", c.backlog, got.Index, preferred.Index)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	const fetch = 255 * time.Nanosecond
 	w := plan("subject")
 	preferred, _ := Choose(candidates(5), w, NewSpeed(), fetch, time.Second, 0)
-	if preferred.Keeper >= 0 || !preferred.Favourite {
+	if preferred.FetchFrom >= 0 || !preferred.Preferred {
 		t.Fatalf("idle: %+v", preferred)
 	}
 	for name, c := range map[string]struct {
@@ -78,11 +78,11 @@
 		all[preferred.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{60_000}}
 		all[preferred.Index].Health = c.health
 		got, _ := Choose(all, w, NewSpeed(), fetch, time.Second, 0)
-		want := Choice{Unread: w.PromptTokens, Keeper: -1}
+		want := Choice{UncachedTokens: w.PromptTokens, FetchFrom: -1}
 		if c.fetches {
-			want = Choice{Unread: 6610, Keeper: preferred.Index}
+			want = Choice{UncachedTokens: 6610, FetchFrom: preferred.Index}
 		}
-		if got.Index == preferred.Index || got.Keeper != want.Keeper || got.Unread != want.Unread {
+		if got.Index == preferred.Index || got.FetchFrom != want.FetchFrom || got.UncachedTokens != want.UncachedTokens {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -158,8 +158,8 @@
 		ms := func(name string, most int64) time.Duration {
 			return time.Duration(rapid.Int64Range(0, most).Draw(t, name)) * time.Millisecond
 		}
-		a := Asked{WholeObjective: ms("objective", 2000) + 1, Left: ms("left", 20_000)}
-		a.Objective = a.WholeObjective - ms("spent", 1000)
+		a := TimeBudget{RouteObjective: ms("objective", 2000) + 1, Remaining: ms("left", 20_000)}
+		a.Objective = a.RouteObjective - ms("spent", 1000)
 		expected := ms("expected", 10_000)
 		v := Admit(expected, expected, a)
 		if v == Refuse && expected <= a.Objective/2 {
@@ -168,12 +168,12 @@
 		if v == Take && expected > a.Objective {
 			t.Fatalf("taken as on time: %v of %v", expected, a.Objective)
 		}
-		if v == TakeLate && expected > a.Left {
-			t.Fatalf("taken although its caller will have left: %v of %v", expected, a.Left)
+		if v == TakeLate && expected > a.Remaining {
+			t.Fatalf("taken although its caller will have left: %v of %v", expected, a.Remaining)
 		}
 		retry := RetryAfter(expected, a, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-		if retry <= 0 || retry > max(a.Left/3, minRetryAfter) {
-			t.Fatalf("retry after %v with %v left", retry, a.Left)
+		if retry <= 0 || retry > max(a.Remaining/3, minRetryAfter) {
+			t.Fatalf("retry after %v with %v left", retry, a.Remaining)
 		}
 	})
 }
@@ -191,9 +191,9 @@
 func TestRanks(t *testing.T) {
 	c := candidates(1)[0]
 	c.Outstanding = Outstanding{Requests: 8, Waiting: Backlog{2: 8}, PromptTokens: Backlog{2: 80_000}}
-	urgent := Expected(c, Work{Rank: 0}, 1000, NewSpeed()).Wait
-	plan := Expected(c, Work{Rank: 2}, 1000, NewSpeed()).Wait
-	if alone := Expected(candidates(1)[0], Work{}, 1000, NewSpeed()).Wait; urgent != alone || plan < 3*urgent {
+	urgent := EstimateWait(c, Work{Rank: 0}, 1000, NewSpeed()).Wait
+	plan := EstimateWait(c, Work{Rank: 2}, 1000, NewSpeed()).Wait
+	if alone := EstimateWait(candidates(1)[0], Work{}, 1000, NewSpeed()).Wait; urgent != alone || plan < 3*urgent {
 		t.Errorf("urgent %v, plan %v, alone %v", urgent, plan, alone)
 	}
 }
@@ -203,14 +203,14 @@
 func TestSlotsByRank(t *testing.T) {
 	c := candidates(1)[0]
 	s := NewSpeed()
-	s.Whole = 3 * time.Second
+	s.SlotTime = 3 * time.Second
 	c.Outstanding = Outstanding{Requests: 160, Waiting: Backlog{2: 32}}
-	urgent, planned := Expected(c, Work{Rank: 0}, 0, s), Expected(c, Work{Rank: 2}, 0, s)
-	if next := s.Base + s.Whole/128; urgent.Wait != next || planned.Wait != s.Base+s.Whole*33/128 || !urgent.Full {
+	urgent, planned := EstimateWait(c, Work{Rank: 0}, 0, s), EstimateWait(c, Work{Rank: 2}, 0, s)
+	if next := s.Base + s.SlotTime/128; urgent.Wait != next || planned.Wait != s.Base+s.SlotTime*33/128 || !urgent.Full {
 		t.Errorf("urgent %+v, want %v; planned %+v", urgent, next, planned)
 	}
 	c.Outstanding.Requests = 100
-	if free := Expected(c, Work{Rank: 2}, 0, s); free.Wait != s.Base || free.Full {
+	if free := EstimateWait(c, Work{Rank: 2}, 0, s); free.Wait != s.Base || free.Full {
 		t.Errorf("%+v with slots left", free)
 	}
 }
@@ -221,22 +221,22 @@
 	const gateways, engines, slots, perSecond = 3, 2, 256, 100
 	now := time.Unix(1000, 0)
 	s := NewSpeed()
-	s.Whole = 2 * time.Second
-	tokens := int64(0.25 * engines / perSecond / gateways / s.Token.Seconds())
-	w := Work{OutputTokens: int64((0.5*slots*time.Second/perSecond/gateways - s.Token*time.Duration(tokens)) / s.Pace)}
+	s.SlotTime = 2 * time.Second
+	tokens := int64(0.25 * engines / perSecond / gateways / s.PrefillTokenTime.Seconds())
+	w := Work{OutputTokens: int64((0.5*slots*time.Second/perSecond/gateways - s.PrefillTokenTime*time.Duration(tokens)) / s.OutputTokenTime)}
 	var d Demand
 	for range 60 * perSecond {
 		now = now.Add(time.Second / perSecond)
 		d = d.With(now, 0, w, tokens, s)
 	}
 	o := d.Overtaking(now, gateways, engines, slots)
-	if o.Slots[0] != 0 || o.Reading[0] != 0 || math.Abs(o.Slots[2]-0.5) > 0.01 || math.Abs(o.Reading[2]-0.25) > 0.01 {
+	if o.Slots[0] != 0 || o.Prefill[0] != 0 || math.Abs(o.Slots[2]-0.5) > 0.01 || math.Abs(o.Prefill[2]-0.25) > 0.01 {
 		t.Fatalf("%+v", o)
 	}
 	c := candidates(1)[0]
 	c.Outstanding = Outstanding{Requests: 150, Waiting: Backlog{0: 2, 2: 10}, PromptTokens: Backlog{2: 80_000}}
-	for rank, want := range map[int]time.Duration{0: s.Whole * 13 / 128, 2: 2*s.Whole*23/128 + 80_000*s.Token*4/3} {
-		expected := Expected(c, Work{Rank: rank}, 0, s.WithOvertaking(o)).Wait
+	for rank, want := range map[int]time.Duration{0: s.SlotTime * 13 / 128, 2: 2*s.SlotTime*23/128 + 80_000*s.PrefillTokenTime*4/3} {
+		expected := EstimateWait(c, Work{Rank: rank}, 0, s.WithOvertaking(o)).Wait
 		if ratio := float64(expected) / float64(s.Base+want); math.Abs(ratio-1) > 0.03 {
 			t.Errorf("rank %d: %v, want about %v", rank, expected, s.Base+want)
 		}
@@ -249,7 +249,7 @@
 // TestHeld checks that the wait before the first chunk does not count towards the time that a slot is held.
 func TestHeld(t *testing.T) {
 	s := NewSpeed()
-	reading := s.Base + 1000*s.Token
+	reading := s.Base + 1000*s.PrefillTokenTime
 	for waited, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second} {
 		if got := s.Held(2*time.Second, reading+waited, 1000); got != want {
 			t.Errorf("waited %v: held %v, want %v", waited, got, want)
@@ -262,16 +262,16 @@
 func TestHold(t *testing.T) {
 	s := NewSpeed()
 	long, short, plain := Work{OutputTokens: 400}, Work{OutputTokens: 20}, Work{}
-	if s = s.WithSent(long, 1000); s.Whole != s.Hold(long, 1000) {
-		t.Errorf("the first request: usually %v, want %v", s.Whole, s.Hold(long, 1000))
+	if s = s.WithSent(long, 1000); s.SlotTime != s.Hold(long, 1000) {
+		t.Errorf("the first request: usually %v, want %v", s.SlotTime, s.Hold(long, 1000))
 	}
 	for range 200 {
-		s = s.WithWhole(long, 0, 400*12*time.Millisecond)
+		s = s.WithCompleted(long, 0, 400*12*time.Millisecond)
 	}
 	if got := s.Hold(short, 0); got < 235*time.Millisecond || got > 240*time.Millisecond {
 		t.Errorf("a short answer holds %v, want about 240ms", got)
 	}
-	desk := NewSpeed().WithWhole(plain, 0, 30*time.Millisecond)
+	desk := NewSpeed().WithCompleted(plain, 0, 30*time.Millisecond)
 	if got := desk.Hold(plain, 0); got != 30*time.Millisecond {
 		t.Errorf("a plain request holds %v", got)
 	}
@@ -280,12 +280,12 @@
 // TestReturned checks that a request whose wait is three times its objective is refused at first and admitted when it
 // is retried.
 func TestReturned(t *testing.T) {
-	first := Asked{Objective: 800 * time.Millisecond, WholeObjective: 800 * time.Millisecond, Left: 10 * time.Second}
+	first := TimeBudget{Objective: 800 * time.Millisecond, RouteObjective: 800 * time.Millisecond, Remaining: 10 * time.Second}
 	again := first
-	again.Left = 9 * time.Second
+	again.Remaining = 9 * time.Second
 	again.Objective = 0
-	again.Returned = Returned(again.Left, first.Left)
-	if Admit(2400*time.Millisecond, 2400*time.Millisecond, first) != Refuse || Admit(2400*time.Millisecond, 2400*time.Millisecond, again) != TakeLate || Returned(first.Left, first.Left) {
+	again.Retried = IsRetry(again.Remaining, first.Remaining)
+	if Admit(2400*time.Millisecond, 2400*time.Millisecond, first) != Refuse || Admit(2400*time.Millisecond, 2400*time.Millisecond, again) != TakeLate || IsRetry(first.Remaining, first.Remaining) {
 		t.Errorf("first %v, again %v", Admit(2400*time.Millisecond, 2400*time.Millisecond, first), Admit(2400*time.Millisecond, 2400*time.Millisecond, again))
 	}
 }
@@ -293,15 +293,15 @@
 // TestCross forwards a burst to the idle one of two regions until the capacity that it reported is used up, and nothing
 // to a region whose report is stale, that has no endpoints or that costs no less.
 func TestCross(t *testing.T) {
-	const detour = 160 * time.Millisecond
+	const roundTrip = 160 * time.Millisecond
 	w := Work{PromptTokens: 1000, OutputTokens: 300}
-	idle := Room{Region: "idle", Wait: waits(60 * time.Millisecond), PromptTokens: 10_000, Endpoints: 2}
-	busy := Room{Region: "busy", Wait: waits(300 * time.Millisecond), PromptTokens: 10_000, Endpoints: 2, Busy: 1}
+	idle := RegionCapacity{Region: "idle", Wait: waits(60 * time.Millisecond), PromptTokens: 10_000, Endpoints: 2}
+	busy := RegionCapacity{Region: "busy", Wait: waits(300 * time.Millisecond), PromptTokens: 10_000, Endpoints: 2, Busy: 1}
 	sent, last := int64(0), ""
 	for n := range 20 {
-		room := idle
-		room.Sent = sent
-		got, ok := Cross([]Room{busy, room}, w, NewSpeed(), detour, 800*time.Millisecond)
+		there := idle
+		there.Sent = sent
+		got, ok := ChooseRegion([]RegionCapacity{busy, there}, w, NewSpeed(), roundTrip, 800*time.Millisecond)
 		switch {
 		case ok && got.Region == "idle":
 			sent += w.PromptTokens
@@ -313,12 +313,12 @@
 	if sent > idle.PromptTokens || last == "idle" {
 		t.Errorf("%d tokens were sent to a region with capacity for %d", sent, idle.PromptTokens)
 	}
-	for name, room := range map[string]Room{
+	for name, there := range map[string]RegionCapacity{
 		"old":          {Region: "old", Wait: waits(1), PromptTokens: 1 << 40, Endpoints: 9, Age: time.Minute},
 		"no endpoints": {Region: "empty", Wait: waits(1), PromptTokens: 1 << 40},
 		"no better":    {Region: "far", Wait: waits(700 * time.Millisecond), PromptTokens: 1 << 40, Endpoints: 1},
 	} {
-		if got, ok := Cross([]Room{room}, w, NewSpeed(), detour, 800*time.Millisecond); ok {
+		if got, ok := ChooseRegion([]RegionCapacity{there}, w, NewSpeed(), roundTrip, 800*time.Millisecond); ok {
 			t.Errorf("%s: crossed to %+v", name, got)
 		}
 	}
--- a/capacity/outcomes.go
+++ b/capacity/outcomes.go
@@ -17,8 +17,8 @@
 	maxBaselineFailureRate = 0.25
 	// failureRateTolerance is the share of failures above the baseline that is attributed to chance.
 	failureRateTolerance = 0.2
-	// FailingShare is the share of failures above which an endpoint counts as out of order.
-	FailingShare = 0.6
+	// MaxFailureRate is the share of failures above which an endpoint counts as out of order.
+	MaxFailureRate = 0.6
 )
 
 // Outcomes counts the ended and failed requests at an endpoint, with exponential decay. It is an immutable value.
@@ -50,8 +50,8 @@
 	return Outcomes{Ended: o.Ended + other.Ended, Failed: o.Failed + other.Failed, At: now}
 }
 
-// Failing returns the share of failed requests, in [0, 1).
-func (o Outcomes) Failing(now time.Time) float64 {
+// FailureRate returns the share of failed requests, in [0, 1).
+func (o Outcomes) FailureRate(now time.Time) float64 {
 	o = o.Now(now)
 	return o.Failed / (o.Ended + priorSuccesses)
 }
@@ -60,12 +60,12 @@
 func baselineFailureRate(candidates []Candidate) float64 {
 	baseline := maxBaselineFailureRate
 	for i := range candidates {
-		baseline = min(baseline, candidates[i].Failing)
+		baseline = min(baseline, candidates[i].FailureRate)
 	}
 	return baseline
 }
 
 // excessFailureRate returns the share of failures that counts against the candidate.
 func (c Candidate) excessFailureRate(baseline float64) float64 {
-	return max(c.Failing-baseline-failureRateTolerance, 0)
+	return max(c.FailureRate-baseline-failureRateTolerance, 0)
 }
--- a/capacity/outstanding.go
+++ b/capacity/outstanding.go
@@ -96,8 +96,8 @@
 	return w.Parts[:len(w.Parts)-1]
 }
 
-// Unread returns the number of prompt tokens to prefill at an endpoint that has cached the first n parts.
-func (w Work) Unread(n int) int64 {
+// UncachedTokens returns the number of prompt tokens to prefill at an endpoint that has cached the first n parts.
+func (w Work) UncachedTokens(n int) int64 {
 	uncached := w.PromptTokens
 	for _, p := range w.Parts[:min(n, len(w.Parts))] {
 		uncached -= p.Tokens
--- a/capacity/overtaking.go
+++ b/capacity/overtaking.go
@@ -36,14 +36,14 @@
 func (d Demand) With(now time.Time, rank int, w Work, uncached int64, s Speed) Demand {
 	d = d.decayTo(now)
 	d.slots[rank] += s.Hold(w, uncached).Seconds() / demandTimeConstant.Seconds()
-	d.prefill[rank] += (s.Token * time.Duration(uncached)).Seconds() / demandTimeConstant.Seconds()
+	d.prefill[rank] += (s.PrefillTokenTime * time.Duration(uncached)).Seconds() / demandTimeConstant.Seconds()
 	return d
 }
 
 // Overtaking is the share of the endpoints' slots and prefill time that more urgent requests take, by rank. A waiting
 // request is overtaken by more urgent ones that arrive later.
 type Overtaking struct {
-	Slots, Reading [Ranks]float64
+	Slots, Prefill [Ranks]float64
 }
 
 // Overtaking returns the shares under the assumption that each of the gateways has the same demand; slots is the total
@@ -53,7 +53,7 @@
 	var o Overtaking
 	var slotShare, prefillShare float64
 	for rank := range Ranks {
-		o.Slots[rank], o.Reading[rank] = min(slotShare, maxOvertakingShare), min(prefillShare, maxOvertakingShare)
+		o.Slots[rank], o.Prefill[rank] = min(slotShare, maxOvertakingShare), min(prefillShare, maxOvertakingShare)
 		if slots > 0 {
 			slotShare += d.slots[rank] * float64(gateways) / float64(slots)
 		}
--- a/capacity/recent.go
+++ b/capacity/recent.go
@@ -9,17 +9,19 @@
 // about as long.
 const recentTimeConstant = time.Second
 
-// Recent is a sum of recently sent tokens with exponential decay. It is an immutable value.
-type Recent struct {
+// RecentTokens is a sum of recently sent tokens with exponential decay. It is an immutable value.
+type RecentTokens struct {
 	tokens float64
 	at     time.Time
 }
 
 // NewRecent returns a sum of tokens at the time at.
-func NewRecent(at time.Time, tokens float64) Recent { return Recent{tokens: tokens, at: at} }
+func NewRecent(at time.Time, tokens float64) RecentTokens {
+	return RecentTokens{tokens: tokens, at: at}
+}
 
 // Tokens returns the sum decayed to now.
-func (r Recent) Tokens(now time.Time) float64 {
+func (r RecentTokens) Tokens(now time.Time) float64 {
 	if r.tokens == 0 {
 		return 0
 	}
@@ -27,11 +29,11 @@
 }
 
 // With returns the sum with tokens that are sent now.
-func (r Recent) With(now time.Time, tokens int64) Recent {
-	return Recent{tokens: r.Tokens(now) + float64(tokens), at: now}
+func (r RecentTokens) With(now time.Time, tokens int64) RecentTokens {
+	return RecentTokens{tokens: r.Tokens(now) + float64(tokens), at: now}
 }
 
 // Busy returns the share of time that an endpoint spends on prefill, given the decayed sum of prompt tokens sent to it.
 func (s Speed) Busy(recentTokens float64) float64 {
-	return min(recentTokens*float64(s.Token)/float64(recentTimeConstant), 1)
+	return min(recentTokens*float64(s.PrefillTokenTime)/float64(recentTimeConstant), 1)
 }
--- a/capacity/regions.go
+++ b/capacity/regions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Room is the spare capacity of a service's endpoints in another region, as reported by a gateway there.
-type Room struct {
+// RegionCapacity is the spare capacity of a service's endpoints in another region, as reported by a gateway there.
+type RegionCapacity struct {
 	Region string
 	// Wait is the expected time to the first chunk of a small request, by rank.
 	Wait [Ranks]time.Duration
@@ -21,11 +21,11 @@
 // that the connection to the region is cut or slow.
 const maxCapacityAge = 1200 * time.Millisecond
 
-// Current reports whether the report is fresh.
-func (r Room) Current() bool { return r.Age <= maxCapacityAge }
+// Fresh reports whether the report is at most maxCapacityAge old.
+func (r RegionCapacity) Fresh() bool { return r.Age <= maxCapacityAge }
 
-// Crossing is the region to which a request may be forwarded.
-type Crossing struct {
+// RegionChoice is the region to which a request may be forwarded.
+type RegionChoice struct {
 	Region string
 	// Expected is the expected time to the first chunk, Late the same with a rank below all requests that can be on
 	// time, and Cost is Expected plus the cost of slower decoding.
@@ -34,18 +34,19 @@
 	Cost     time.Duration
 }
 
-// Cross returns the region that serves a request at the least cost, if that is less than the local cost here. detour is
-// the round-trip time to another region. The tokens sent to a region since its report are added to its load.
-func Cross(rooms []Room, w Work, s Speed, detour, here time.Duration) (best Crossing, ok bool) {
-	for _, r := range rooms {
-		if !r.Current() || r.Endpoints == 0 || r.Sent+w.PromptTokens > r.PromptTokens {
+// ChooseRegion returns the region that serves a request at the least cost, if that is less than the local cost here.
+// roundTrip is the round-trip time to another region. The tokens sent to a region since its report are added to its
+// load.
+func ChooseRegion(capacities []RegionCapacity, w Work, s Speed, roundTrip, here time.Duration) (best RegionChoice, ok bool) {
+	for _, r := range capacities {
+		if !r.Fresh() || r.Endpoints == 0 || r.Sent+w.PromptTokens > r.PromptTokens {
 			continue
 		}
-		expected := r.Wait[w.Rank] + detour + s.Token*time.Duration(w.PromptTokens+r.Sent/int64(r.Endpoints))
+		expected := r.Wait[w.Rank] + roundTrip + s.PrefillTokenTime*time.Duration(w.PromptTokens+r.Sent/int64(r.Endpoints))
 		cost := expected + DecodeCost(w, min(r.Busy+s.Busy(float64(r.Sent)/float64(r.Endpoints)), 1))
 		if cost < here && (!ok || cost < best.Cost) {
 			late := expected - r.Wait[w.Rank] + r.Wait[Ranks-1]
-			best, ok = Crossing{Region: r.Region, Expected: expected, Late: late, Cost: cost}, true
+			best, ok = RegionChoice{Region: r.Region, Expected: expected, Late: late, Cost: cost}, true
 		}
 	}
 	return best, ok
--- a/capacity/speed.go
+++ b/capacity/speed.go
@@ -26,13 +26,14 @@
 
 // Speed holds the learned service times of a service's endpoints. It is an immutable value.
 type Speed struct {
-	// Base is the time to the first chunk at an idle endpoint, and Token the additional time per uncached prompt token.
-	Base  time.Duration
-	Token time.Duration
-	// Pace is the time that a request holds its slot per expected output token.
-	Pace time.Duration
-	// Whole is the average time that a request holds its slot; slotTimeLearned is true once it has been observed.
-	Whole           time.Duration
+	// Base is the time to the first chunk at an idle endpoint, and PrefillTokenTime the additional time
+	// per uncached prompt token.
+	Base             time.Duration
+	PrefillTokenTime time.Duration
+	// OutputTokenTime is the time that a request holds its slot per expected output token.
+	OutputTokenTime time.Duration
+	// SlotTime is the average time that a request holds its slot; slotTimeLearned is true once it has been observed.
+	SlotTime        time.Duration
 	slotTimeLearned bool
 	// Overtaking is the current share of the endpoints' time that more urgent requests take.
 	Overtaking Overtaking
@@ -41,7 +42,7 @@
 // NewSpeed returns the service times assumed before the first observation.
 func NewSpeed() Speed {
 	return Speed{
-		Base: initialBaseTime, Token: initialPrefillTokenTime, Pace: initialOutputTokenTime, Whole: initialBaseTime,
+		Base: initialBaseTime, PrefillTokenTime: initialPrefillTokenTime, OutputTokenTime: initialOutputTokenTime, SlotTime: initialBaseTime,
 	}
 }
 
@@ -54,20 +55,20 @@
 // before it.
 func (s Speed) WithFirst(uncached int64, took time.Duration) Speed {
 	if uncached < minPrefillTokensLearned {
-		expected := s.Token * time.Duration(uncached)
+		expected := s.PrefillTokenTime * time.Duration(uncached)
 		s.Base = max(smooth(s.Base, took-expected), time.Millisecond)
 		return s
 	}
-	s.Token = max(smooth(s.Token, (took-s.Base)/time.Duration(uncached)), time.Microsecond)
+	s.PrefillTokenTime = max(smooth(s.PrefillTokenTime, (took-s.Base)/time.Duration(uncached)), time.Microsecond)
 	return s
 }
 
 // Hold returns the expected time that a request with that many uncached tokens holds its slot.
 func (s Speed) Hold(w Work, uncached int64) time.Duration {
 	if w.OutputTokens == 0 {
-		return s.Whole
+		return s.SlotTime
 	}
-	return s.Token*time.Duration(uncached) + s.Pace*time.Duration(w.OutputTokens)
+	return s.PrefillTokenTime*time.Duration(uncached) + s.OutputTokenTime*time.Duration(w.OutputTokens)
 }
 
 // WithSent returns the speed after a request was sent. It changes only if the output length of the request is known.
@@ -78,22 +79,22 @@
 	return s
 }
 
-// WithWhole returns the speed after a response has completed; held is the time that the request held its slot.
-func (s Speed) WithWhole(w Work, uncached int64, held time.Duration) Speed {
+// WithCompleted returns the speed after a response has completed; held is the time that the request held its slot.
+func (s Speed) WithCompleted(w Work, uncached int64, held time.Duration) Speed {
 	if w.OutputTokens == 0 {
 		return s.withSlotTime(held)
 	}
-	made := max(held-s.Token*time.Duration(uncached), 0) / time.Duration(w.OutputTokens)
-	s.Pace = max(smooth(s.Pace, made), time.Millisecond)
+	made := max(held-s.PrefillTokenTime*time.Duration(uncached), 0) / time.Duration(w.OutputTokens)
+	s.OutputTokenTime = max(smooth(s.OutputTokenTime, made), time.Millisecond)
 	return s
 }
 
-// withSlotTime returns the speed with one more observation of Whole; the first one replaces the initial value.
+// withSlotTime returns the speed with one more observation of SlotTime; the first one replaces the initial value.
 func (s Speed) withSlotTime(held time.Duration) Speed {
 	if !s.slotTimeLearned {
-		s.Whole = held
+		s.SlotTime = held
 	}
-	s.Whole, s.slotTimeLearned = smooth(s.Whole, held), true
+	s.SlotTime, s.slotTimeLearned = smooth(s.SlotTime, held), true
 	return s
 }
 
@@ -106,7 +107,7 @@
 // Held returns the time that a request held its slot. took is its total time, first its time to the first chunk, and
 // uncached its own uncached tokens; the part of first beyond their prefill was spent in the queue.
 func (s Speed) Held(took, first time.Duration, uncached int64) time.Duration {
-	waited := first - s.Base - s.Token*time.Duration(uncached)
+	waited := first - s.Base - s.PrefillTokenTime*time.Duration(uncached)
 	return took - max(waited, 0)
 }
 
--- a/completion/answer.go
+++ b/completion/answer.go
@@ -72,8 +72,8 @@
 	return encode(m)
 }
 
-// Whole returns a complete answer that is not streamed.
-func (a Answer) Whole(text string, e stream.End) []byte {
+// Complete returns a complete answer that is not streamed.
+func (a Answer) Complete(text string, e stream.End) []byte {
 	c := choice{FinishReason: &e.FinishReason}
 	if a.Kind == Chat {
 		c.Message = &content{Role: "assistant", Content: text}
@@ -180,7 +180,7 @@
 	}
 	for _, n := range numbers {
 		if n.value < 0 {
-			return &RangeError{Field: n.field, Least: 0}
+			return &RangeError{Field: n.field, Min: 0}
 		}
 	}
 	return nil
--- a/completion/request.go
+++ b/completion/request.go
@@ -59,12 +59,12 @@
 // RangeError reports that a number of a request or an event is too small.
 type RangeError struct {
 	Field string
-	Least int
+	Min   int
 }
 
 // Error names the field and its minimum.
 func (e *RangeError) Error() string {
-	return fmt.Sprintf("completion request: field %q is at least %d", e.Field, e.Least)
+	return fmt.Sprintf("completion request: field %q is at least %d", e.Field, e.Min)
 }
 
 // message is the JSON form of a chat message.
@@ -97,7 +97,7 @@
 		return Request{}, &MissingError{Field: "model"}
 	}
 	if r.MaxTokens < 1 {
-		return Request{}, &RangeError{Field: "max_tokens", Least: 1}
+		return Request{}, &RangeError{Field: "max_tokens", Min: 1}
 	}
 	if err := r.decodePrompt(); err != nil {
 		return Request{}, err
--- a/control/changes.go
+++ b/control/changes.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	change := configuration.Change{ID: m.GetChangeId(), Expected: m.GetExpectedRevision(), Operator: m.GetOperator(), At: c.now()}
-	if answer, ok, err := c.store.Answered(ctx, change.ID); ok || err != nil {
+	if answer, ok, err := c.store.RecordedAnswer(ctx, change.ID); ok || err != nil {
 		return c.reportDecision(change, answer, err)
 	}
 	change, err := c.withPatch(change, wire.DecodePatch(m))
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -73,15 +73,15 @@
 	}
 	if !known || old.State != e.State || old.Born != e.Born {
 		c.log.Info().Str("endpoint", e.ID).Str("service", e.Service).Str("address", e.Address).Str("domain", e.FailureDomain).
-			Str("state", e.State.String()).Int64("sequence", e.Sequence).Dur("coldFor", max(e.ColdUntil.Sub(e.Heard), 0)).Msg("endpoint state changed")
+			Str("state", e.State.String()).Int64("sequence", e.Sequence).Dur("coldFor", max(e.ColdUntil.Sub(e.LastSeen), 0)).Msg("endpoint state changed")
 	}
 }
 
-// Depart marks an endpoint as gone after it announced its departure. A born of zero means the incarnation that is
-// known.
-func (c *Control) Depart(id string, born int64) {
+// RemoveEndpoint marks an endpoint as gone after it announced its departure. A born of zero means the incarnation that
+// is known.
+func (c *Control) RemoveEndpoint(id string, born int64) {
 	c.fleet.mu.Lock()
-	applied := c.fleet.endpoints.Depart(c.now(), id, born)
+	applied := c.fleet.endpoints.Leave(c.now(), id, born)
 	if applied {
 		c.fleet.localEndpoints[id] = true
 	}
--- a/control/fleet_codec.go
+++ b/control/fleet_codec.go
@@ -19,7 +19,7 @@
 func encodeGateways(now time.Time, changes []fleet.GatewayChange) []*wiregen.GatewayRecord {
 	var all []*wiregen.GatewayRecord
 	for _, g := range changes {
-		all = append(all, &wiregen.GatewayRecord{Report: wire.EncodeGateway(g.Gateway), Gone: g.Gone, SilentMillis: now.Sub(g.Gateway.Heard).Milliseconds()})
+		all = append(all, &wiregen.GatewayRecord{Report: wire.EncodeGateway(g.Gateway), Gone: g.Gone, SilentMillis: now.Sub(g.Gateway.LastSeen).Milliseconds()})
 	}
 	return all
 }
--- a/control/fleet_sync.go
+++ b/control/fleet_sync.go
@@ -86,7 +86,7 @@
 	endpoints, v.endpointsSequence = f.endpoints.Since(v.endpointsSequence)
 	gateways, v.gatewaysSequence = f.gateways.Since(v.gatewaysSequence)
 	if now.Sub(v.endpointsRenewedAt) >= renewalPeriod {
-		endpoints = append(endpoints, f.endpoints.Heard(v.endpointsRenewedAt)...)
+		endpoints = append(endpoints, f.endpoints.SeenAfter(v.endpointsRenewedAt)...)
 		v.endpointsRenewedAt = now
 	}
 	if now.Sub(v.gatewaysRenewedAt) >= fleetHeartbeat {
@@ -158,7 +158,7 @@
 		return
 	}
 	for _, known := range f.gateways.Live() {
-		if known.Name == g.Name && !known.Heard.After(g.Heard) {
+		if known.Name == g.Name && !known.LastSeen.After(g.LastSeen) {
 			f.gateways.Leave(g.Name, g.Born)
 		}
 	}
--- a/control/instances.go
+++ b/control/instances.go
@@ -52,7 +52,7 @@
 	for _, reply := range replies {
 		for _, i := range reply.GetInstances() {
 			at := c.now().Add(-time.Duration(i.GetAgeMillis()) * time.Millisecond)
-			newest.Take(distribution.Instance{
+			newest.Update(distribution.Instance{
 				Name: i.GetName(), Region: i.GetRegion(), Revision: i.GetRevision(), LedgerFatalDomain: i.GetLedgerFatalDomain(), At: at,
 			})
 		}
--- a/control/placement.go
+++ b/control/placement.go
@@ -88,7 +88,7 @@
 		p.demand = newDemandForecaster()
 	}
 	p.mu.Lock()
-	p.issuer.Lead(now, lease)
+	p.issuer.ObserveLease(now, lease)
 	p.mu.Unlock()
 	inv, revision := p.inventory()
 	if inv == nil {
@@ -100,7 +100,7 @@
 	p.demand.observe(now, replies)
 	view := placement.View{Inventory: inv, Endpoints: p.placementEndpoints(endpoints), Demands: p.demand.forecast(now)}
 	changes := p.planner.Decide(now, view)
-	for _, e := range p.planner.Learned() {
+	for _, e := range p.planner.AdoptedLoads() {
 		p.logAdoptedLoad(e)
 	}
 	for _, c := range changes {
--- a/control/requests.go
+++ b/control/requests.go
@@ -69,8 +69,8 @@
 	ok     bool
 }
 
-// Answered returns the recorded answer to a change id, as of the last entry that this voter has applied.
-func (q *quorum) Answered(ctx context.Context, changeID string) (configuration.Answer, bool, error) {
+// RecordedAnswer returns the recorded answer to a change id, as of the last entry that this voter has applied.
+func (q *quorum) RecordedAnswer(ctx context.Context, changeID string) (configuration.Answer, bool, error) {
 	recorded, err := readState(ctx, q, func(m *stateMachine) recordedAnswer {
 		answer, ok := m.state.Answer(changeID)
 		return recordedAnswer{answer: answer, ok: ok}
--- a/control/store.go
+++ b/control/store.go
@@ -21,8 +21,9 @@
 	Leadership
 	// Propose proposes a change and waits for the decision. Failures are of type *problem.Problem.
 	Propose(ctx context.Context, c configuration.Change) (configuration.Answer, error)
-	// Answered returns the recorded answer to a change id, if there is one. Failures are of type *problem.Problem.
-	Answered(ctx context.Context, changeID string) (answer configuration.Answer, ok bool, err error)
+	// RecordedAnswer returns the recorded answer to a change id, if there is one. Failures are of type
+	// *problem.Problem.
+	RecordedAnswer(ctx context.Context, changeID string) (answer configuration.Answer, ok bool, err error)
 	// Confirm returns once Current includes every change accepted before the call. Failures are of type
 	// *problem.Problem.
 	Confirm(ctx context.Context) error
--- a/dispatch/crossregion.go
+++ b/dispatch/crossregion.go
@@ -55,7 +55,7 @@
 		return forwardNoEndpoint, nil
 	}
 	terms := d.Terms
-	if !d.Room {
+	if !d.HasCapacity {
 		e := s.estimate(now, j, q, d)
 		if !now.Add(e.Total()).Before(j.request.Deadline) {
 			return forwardCannotBeMet, nil
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -24,13 +24,13 @@
 	Summaries() []membership.Summary
 }
 
-// Models runs one attempt of a request on a model engine and passes the pieces of the answer to the sink.
-type Models interface {
+// ModelCaller runs one attempt of a request on a model engine and passes the pieces of the answer to the sink.
+type ModelCaller interface {
 	Generate(ctx context.Context, e membership.Endpoint, r Request, attempt Attempt, sink stream.Sink) (stream.End, error)
 }
 
-// Plain sends a call to an endpoint of a plain service, without retries.
-type Plain interface {
+// PlainCaller sends a call to an endpoint of a plain service, without retries.
+type PlainCaller interface {
 	Call(ctx context.Context, e membership.Endpoint, r Request) (Reply, error)
 }
 
@@ -63,8 +63,8 @@
 type Dispatcher struct {
 	self      Hop
 	view      View
-	models    Models
-	plain     Plain
+	models    ModelCaller
+	plain     PlainCaller
 	forwarder Forwarder
 	scheduler *scheduler
 	limiter   Limiter
@@ -73,7 +73,7 @@
 }
 
 // New returns a dispatcher for the instance self; source supplies its random numbers.
-func New(self Hop, view View, models Models, plain Plain, forward Forwarder, chooser Chooser, now func() time.Time, source rand.Source, log zerolog.Logger) *Dispatcher {
+func New(self Hop, view View, models ModelCaller, plain PlainCaller, forward Forwarder, chooser Chooser, now func() time.Time, source rand.Source, log zerolog.Logger) *Dispatcher {
 	return &Dispatcher{
 		self:      self,
 		view:      view,
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -12,9 +12,9 @@
 func (s *scheduler) explain(j *job, d routing.Decision, action string) {
 	event := s.requestEvent(j).
 		Str("action", action).
-		Int("open", d.Open).
+		Int("open", d.Available).
 		Int("scored", d.Scored).
-		Bool("room", d.Room).
+		Bool("room", d.HasCapacity).
 		Str("endpoint", d.Candidate.Name()).
 		Dict("terms", termsDict(d.Terms))
 	if d.RunnerUp != nil {
@@ -25,7 +25,7 @@
 
 // explainForward logs that a request is forwarded to another region; ownTerms are the terms of the own region, or nil
 // if it cannot serve the request.
-func (s *scheduler) explainForward(j *job, d routing.AwayDecision, ownTerms *routing.Terms, reason string) {
+func (s *scheduler) explainForward(j *job, d routing.RegionDecision, ownTerms *routing.Terms, reason string) {
 	event := s.requestEvent(j).
 		Str("action", "sentAway").
 		Str("reason", reason).
@@ -71,7 +71,7 @@
 		Float64("prefill", t.Prefill).
 		Float64("decode", t.Decode).
 		Float64("cached", t.Cached).
-		Float64("travel", t.Travel).
+		Float64("travel", t.Transfer).
 		Float64("cost", t.Cost).
 		Float64("away", t.Away).
 		Float64("score", t.Score)
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -43,7 +43,7 @@
 	endpoint      membership.Endpoint
 	ticket        *routing.Ticket
 	region        string
-	forwardTicket *routing.AwayTicket
+	forwardTicket *routing.RegionTicket
 	// probe reports whether the attempt probes a region whose breaker is half open.
 	probe retry.Probe
 	terms routing.Terms
@@ -143,8 +143,8 @@
 	return price / lowest
 }
 
-func (j *job) useKey() admission.Key {
-	return admission.Key{Team: j.request.Team, Class: j.request.Class, Model: j.request.Model}
+func (j *job) usageKey() admission.UsageKey {
+	return admission.UsageKey{Team: j.request.Team, Class: j.request.Class, Model: j.request.Model}
 }
 
 // wireBytes estimates the bytes that the request transfers over a link between regions.
@@ -217,7 +217,7 @@
 		return
 	}
 	j.pieces = pieces
-	j.attempts.Fruitless = 0
+	j.attempts.WithoutProgress = 0
 	j.query.PromptTokens += added
 	j.query.ExpectedTokens = max(j.query.ExpectedTokens-added, 1)
 	j.quantileTokens = max(j.quantileTokens-added, 1)
@@ -239,7 +239,7 @@
 	if failure == retry.Unreached {
 		j.attempts.Unreached++
 	} else {
-		j.attempts.Fruitless++
+		j.attempts.WithoutProgress++
 	}
 	j.mayHaveRun = j.mayHaveRun || failure == retry.Doubtful || failure == retry.Final
 	if p.region != "" {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -45,8 +45,8 @@
 	now := s.now()
 	s.refresh(now)
 	q := s.queueFor(j)
-	j.query.Behind = s.queriesAhead(now, q, j)
-	defer func() { j.query.Behind = nil }()
+	j.query.Ahead = s.queriesAhead(now, q, j)
+	defer func() { j.query.Ahead = nil }()
 	d, local := s.choose(now, j)
 	if p := s.startNow(now, j, q, d, local); p != nil {
 		return p, nil, nil
@@ -60,7 +60,7 @@
 	if p := s.tryForward(now, j, q, d, local); p != nil {
 		return p
 	}
-	free := local && d.Room && q.queue.Ahead(j.class.Priority) == 0
+	free := local && d.HasCapacity && q.queue.Ahead(j.class.Priority) == 0
 	if !free || j.class.Deferrable && !s.hasHeadroom(now, j) {
 		return nil
 	}
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -19,8 +19,8 @@
 type modelQueue struct {
 	key   queueKey
 	queue *admission.Queue[*waiter]
-	rate  admission.Rate
-	audit admission.Audit
+	rate  admission.StartRate
+	audit admission.RefusalAudit
 	// waitingSince is when the queue was last empty.
 	waitingSince time.Time
 	// endpointSeenAt is when an endpoint was last known for a request.
@@ -166,10 +166,10 @@
 func (s *scheduler) startHead(now time.Time, q *modelQueue, ahead []*routing.Query) bool {
 	w := q.head
 	j := w.Value.job
-	j.query.Behind = ahead
+	j.query.Ahead = ahead
 	d, ok := s.choose(now, j)
-	j.query.Behind = nil
-	if !ok || !d.Room {
+	j.query.Ahead = nil
+	if !ok || !d.HasCapacity {
 		return false
 	}
 	s.queues.remove(now, q, w, true)
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -24,7 +24,7 @@
 	rng            *rand.Rand
 	chooser        Chooser
 	regions        *routing.Regions
-	usage          *admission.Uses
+	usage          *admission.UsageEstimator
 	queues         *modelQueues
 	breakers       *retry.Breakers[string]
 	regionBreakers *retry.Breakers[string]
@@ -47,7 +47,7 @@
 		rng:            rng,
 		chooser:        chooser,
 		regions:        routing.NewRegions(now(), source),
-		usage:          admission.NewUses(),
+		usage:          admission.NewUsageEstimator(),
 		queues:         newModelQueues(),
 		breakers:       retry.NewBreakers[string](source),
 		regionBreakers: retry.NewBreakers[string](source),
@@ -62,9 +62,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	asked := j.request.MaxTokens
-	j.query.ExpectedTokens = s.usage.Mean(j.useKey(), asked)
-	j.quantileTokens = s.usage.Likely(j.useKey(), patienceQuantile, asked)
-	j.query.ReserveTokens = j.request.PromptTokens + s.usage.Quantile(j.useKey(), j.inventory.Rules().ReservationQuantile, asked)
+	j.query.ExpectedTokens = s.usage.Mean(j.usageKey(), asked)
+	j.quantileTokens = s.usage.QuantileOrPrior(j.usageKey(), patienceQuantile, asked)
+	j.query.ReserveTokens = j.request.PromptTokens + s.usage.Quantile(j.usageKey(), j.inventory.Rules().ReservationQuantile, asked)
 	s.counts.Requests++
 	s.optionalForwards = min(s.optionalForwards+optionalForwardShare, maxOptionalForwards)
 	j.query.PrefillPerSecond = s.chooser.Capacity(s.now(), j.query.Service, j.query.Model).PrefillTokensPerSecond
@@ -133,7 +133,7 @@
 		s.counts.Answered++
 		s.counts.UsedTokens += int64(j.pieces)
 		if j.request.Model != "" {
-			s.usage.Record(j.useKey(), j.pieces)
+			s.usage.Record(j.usageKey(), j.pieces)
 		}
 	}
 	s.startWaiting(now, p.models())
--- a/dispatch/waiting_test.go
+++ b/dispatch/waiting_test.go
@@ -35,8 +35,8 @@
 				failure = fmt.Sprintf("%d requests wait", c.Waiting)
 			}
 			decision, ok := d.scheduler.chooser.Choose(time.Now(), &routing.Query{Service: "menu-model", Model: "dastarkhwan-menu", ReserveTokens: 2000})
-			if !ok || decision.Candidate.Own() != 0 || !decision.Room {
-				failure = fmt.Sprintf("own %d, room %v after all callers left", decision.Candidate.Own(), decision.Room)
+			if !ok || decision.Candidate.OwnRequests() != 0 || !decision.HasCapacity {
+				failure = fmt.Sprintf("own requests %d, capacity %v after all callers left", decision.Candidate.OwnRequests(), decision.HasCapacity)
 			}
 		})
 		if failure != "" {
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -50,10 +50,10 @@
 	if !ok {
 		return
 	}
-	_, err := follower.Take(u)
+	_, err := follower.Apply(u)
 	if errors.As(err, new(*ChecksumError)) {
 		if u, ok = source.Since(follower.Revision(), 0); ok {
-			_, err = follower.Take(u)
+			_, err = follower.Apply(u)
 		}
 	}
 	if err != nil || follower.Revision() != source.Revision() || string(follower.Whole()) != string(source.Whole()) {
@@ -125,8 +125,8 @@
 				all = append(all, i)
 			}
 			if r, ok := sender.Next(now, common, all, time.Second); ok {
-				for _, i := range receiver.Take(now, r) {
-					collector.Take(i)
+				for _, i := range receiver.Receive(now, r) {
+					collector.Update(i)
 				}
 			}
 			for _, i := range all {
--- a/distribution/reports.go
+++ b/distribution/reports.go
@@ -34,8 +34,8 @@
 // NewReports returns an empty set.
 func NewReports() *Reports { return &Reports{latest: map[string]Instance{}} }
 
-// Take updates the state of one instance unless the known state is newer.
-func (r *Reports) Take(i Instance) {
+// Update records the state of one instance unless the known state is newer.
+func (r *Reports) Update(i Instance) {
 	if !i.At.Before(r.latest[i.Name].At) {
 		r.latest[i.Name] = i
 	}
@@ -101,9 +101,9 @@
 // NewReceiver returns the receiver of a new stream.
 func NewReceiver() *Receiver { return &Receiver{fresh: map[string]Instance{}} }
 
-// Take returns the state of every instance that the report covers, ordered by name: those that it lists with the time
-// of their state, and the other fresh ones with the common revision at the present time.
-func (s *Receiver) Take(now time.Time, r Report) []Instance {
+// Receive returns the state of every instance that the report covers, ordered by name: those that it lists with the
+// time of their state, and the other fresh ones with the common revision at the present time.
+func (s *Receiver) Receive(now time.Time, r Report) []Instance {
 	var all []Instance
 	for _, i := range r.Instances {
 		delete(s.fresh, i.Name)
--- a/distribution/versions.go
+++ b/distribution/versions.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Take applies an update. It reports false if the update's revision is not
+// Apply applies an update. It reports false if the update's revision is not
 // higher, and returns *ChecksumError if its deltas do not fit.
-func (v *Versions) Take(u Update) (bool, error) {
+func (v *Versions) Apply(u Update) (bool, error) {
 	if u.Revision <= v.revision {
 		return false, nil
 	}
--- a/endpoint/model.go
+++ b/endpoint/model.go
@@ -29,7 +29,7 @@
 	client *http.Client
 }
 
-var _ dispatch.Models = (*Models)(nil)
+var _ dispatch.ModelCaller = (*Models)(nil)
 
 // NewModels returns a client of model engines that keeps connections open.
 func NewModels() *Models {
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -15,7 +15,7 @@
 // Plain speaks to plain services, with a transport and a connection for each call so that none is ever sent again.
 type Plain struct{}
 
-var _ dispatch.Plain = (*Plain)(nil)
+var _ dispatch.PlainCaller = (*Plain)(nil)
 
 // NewPlain returns a client of plain services.
 func NewPlain() *Plain { return &Plain{} }
--- a/endpoint/reader.go
+++ b/endpoint/reader.go
@@ -22,7 +22,7 @@
 type reader struct {
 	requestID string
 	attempt   int
-	order     *stream.Order
+	sequencer *stream.Sequencer
 	sink      stream.Sink
 	end       stream.End
 	ended     bool
@@ -30,7 +30,7 @@
 
 // newReader returns a reader of an attempt whose first piece has the position next.
 func newReader(requestID string, attempt, next int, sink stream.Sink) *reader {
-	return &reader{requestID: requestID, attempt: attempt, order: stream.NewOrder(requestID, attempt, next), sink: sink}
+	return &reader{requestID: requestID, attempt: attempt, sequencer: stream.NewSequencer(requestID, attempt, next), sink: sink}
 }
 
 // read gives the pieces to the sink until the end mark; any other end returns *stream.IncompleteError.
@@ -53,7 +53,7 @@
 }
 
 func (a *reader) incomplete(cause error) error {
-	return &stream.IncompleteError{RequestID: a.requestID, Pieces: a.order.Next(), Cause: cause}
+	return &stream.IncompleteError{RequestID: a.requestID, Pieces: a.sequencer.Next(), Cause: cause}
 }
 
 // line takes one line of the stream and reports whether it was the end mark.
@@ -94,7 +94,7 @@
 	if event.HasAttempt {
 		attempt = event.Attempt
 	}
-	if !a.order.Owns(event.ID, attempt) {
+	if !a.sequencer.Owns(event.ID, attempt) {
 		return nil
 	}
 	if err := a.piece(event); err != nil {
@@ -114,11 +114,11 @@
 		}
 		return nil
 	}
-	if a.ended && event.Position >= a.order.Next() {
+	if a.ended && event.Position >= a.sequencer.Next() {
 		return &AfterEndError{Position: event.Position}
 	}
 	piece := stream.Piece{RequestID: a.requestID, Attempt: a.attempt, Position: event.Position, Text: event.Text}
-	ok, err := a.order.Accept(piece)
+	ok, err := a.sequencer.Accept(piece)
 	if err != nil || !ok {
 		return err
 	}
@@ -129,7 +129,7 @@
 func (a *reader) finish(event completion.Event) error {
 	end := stream.End{
 		FinishReason: event.FinishReason,
-		Pieces:       a.order.Next(),
+		Pieces:       a.sequencer.Next(),
 		PromptTokens: event.PromptTokens,
 		CachedTokens: event.CachedTokens,
 	}
@@ -137,7 +137,7 @@
 		end.Pieces = event.Pieces
 	}
 	var err error
-	a.end, err = a.order.Close(end)
+	a.end, err = a.sequencer.Close(end)
 	a.ended = err == nil
 	return err
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -33,7 +33,7 @@
 	peers      *peers
 	dispatcher *dispatch.Dispatcher
 	rates      *rates
-	room       *room
+	memory     *requestMemory
 	runner     *calls.Runner
 	demands    *demands
 	// replica is nil on an instance that is no ledger replica.
@@ -71,13 +71,13 @@
 		peers:      p,
 		dispatcher: d,
 		rates:      r,
-		room:       newRoom(cfg.RequestBytes),
+		memory:     newRequestMemory(cfg.RequestBytes),
 		demands:    newDemands(),
 		domains:    newDomains(),
 		began:      now(),
 		done:       make(chan struct{}),
 	}
-	counts.Add(requestBytesVar, expvar.Func(func() any { return n.room.used() }))
+	counts.Add(requestBytesVar, expvar.Func(func() any { return n.memory.used() }))
 	link := newLedgerLink(n, cfg.LedgerReplicas)
 	n.ledgerGroup = calls.NewGroup(link.slots(), link)
 	n.runner = calls.New(cfg.Self.Name, n.ledgerGroup, d, n.keepsAnswer, cfg.LedgerRetention, log, now)
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -21,13 +21,13 @@
 
 // ForwardModel sends a model request to an entry of the region; the next entry is tried while nothing of the answer came.
 func (p *peers) ForwardModel(ctx context.Context, region string, r dispatch.Request, sink stream.Sink) (stream.End, error) {
-	order := stream.NewOrder(r.CorrelationID, 0, r.Resume.Next)
+	sequencer := stream.NewSequencer(r.CorrelationID, 0, r.Resume.Next)
 	var end stream.End
 	err := p.each(ctx, region, r, func(frames forwardFrames) error {
 		var err error
-		end, err = readForward(frames, r.CorrelationID, order, sink)
+		end, err = readForward(frames, r.CorrelationID, sequencer, sink)
 		return err
-	}, func(err error) bool { return order.Next() == r.Resume.Next && ctx.Err() == nil && retriable(err) })
+	}, func(err error) bool { return sequencer.Next() == r.Resume.Next && ctx.Err() == nil && retriable(err) })
 	return end, err
 }
 
@@ -115,22 +115,22 @@
 }
 
 // readForward gives the pieces of a forwarded answer to the sink until its end.
-func readForward(frames forwardFrames, requestID string, order *stream.Order, sink stream.Sink) (stream.End, error) {
+func readForward(frames forwardFrames, requestID string, sequencer *stream.Sequencer, sink stream.Sink) (stream.End, error) {
 	for {
 		frame, err := frames.Recv()
 		if err != nil {
-			return stream.End{}, incomplete(requestID, order, err)
+			return stream.End{}, incomplete(requestID, sequencer, err)
 		}
 		switch f := frame.GetFrame().(type) {
 		case *wiregen.ForwardFrame_Piece:
 			piece := stream.Piece{RequestID: requestID, Position: int(f.Piece.GetPosition()), Text: string(f.Piece.GetData())}
-			if err := passOn(piece, order, sink); err != nil {
-				return stream.End{}, incomplete(requestID, order, err)
+			if err := passOn(piece, sequencer, sink); err != nil {
+				return stream.End{}, incomplete(requestID, sequencer, err)
 			}
 		case *wiregen.ForwardFrame_End:
-			end, err := order.Close(wire.DecodeEnd(f.End))
+			end, err := sequencer.Close(wire.DecodeEnd(f.End))
 			if err != nil {
-				return stream.End{}, incomplete(requestID, order, err)
+				return stream.End{}, incomplete(requestID, sequencer, err)
 			}
 			return end, nil
 		case *wiregen.ForwardFrame_Problem:
@@ -139,13 +139,13 @@
 	}
 }
 
-func incomplete(requestID string, order *stream.Order, cause error) error {
-	return &stream.IncompleteError{RequestID: requestID, Pieces: order.Next(), Cause: cause}
+func incomplete(requestID string, sequencer *stream.Sequencer, cause error) error {
+	return &stream.IncompleteError{RequestID: requestID, Pieces: sequencer.Next(), Cause: cause}
 }
 
 // passOn gives a piece to the sink if it is the next one.
-func passOn(piece stream.Piece, order *stream.Order, sink stream.Sink) error {
-	ok, err := order.Accept(piece)
+func passOn(piece stream.Piece, sequencer *stream.Sequencer, sink stream.Sink) error {
+	ok, err := sequencer.Accept(piece)
 	if err != nil || !ok {
 		return err
 	}
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -83,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range grants {
-		s.teams.Take(s.now(), wire.DecodeGrant(m))
+		s.teams.AcceptGrant(s.now(), wire.DecodeGrant(m))
 	}
 }
 
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -54,10 +54,10 @@
 
 // timedModels notes when a request is sent to an engine.
 type timedModels struct {
-	models dispatch.Models
+	models dispatch.ModelCaller
 }
 
-var _ dispatch.Models = timedModels{}
+var _ dispatch.ModelCaller = timedModels{}
 
 // Generate notes the time and passes the request on.
 func (m timedModels) Generate(ctx context.Context, e membership.Endpoint, r dispatch.Request, attempt dispatch.Attempt, sink stream.Sink) (stream.End, error) {
--- a/entry/room.go
+++ b/entry/room.go
@@ -13,40 +13,42 @@
 // requestOverhead is the memory in bytes that a request in progress takes besides its body.
 const requestOverhead = 96 << 10
 
-// retryAfterFull is when a caller may come back that found no room in an instance.
+// retryAfterFull is when a caller may come back that found too little free memory in an instance.
 const retryAfterFull = time.Second
 
-// room is the memory for requests in progress; it is safe for concurrent use.
-type room struct {
-	mu   sync.Mutex
-	room *admission.Room
+// requestMemory is the memory for requests in progress; it is safe for concurrent use.
+type requestMemory struct {
+	mu     sync.Mutex
+	budget *admission.MemoryBudget
 }
 
-func newRoom(bytes int64) *room { return &room{room: admission.NewRoom(bytes)} }
+func newRequestMemory(bytes int64) *requestMemory {
+	return &requestMemory{budget: admission.NewMemoryBudget(bytes)}
+}
 
 // used returns the bytes that requests in progress hold.
-func (r *room) used() int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.room.Used()
+func (m *requestMemory) used() int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.budget.Used()
 }
 
 // hold is the memory of one request, held until release.
 type hold struct {
-	room   *room
+	memory *requestMemory
 	holder admission.Holder
 	bytes  int64
 }
 
-// take holds memory for a request with a body of that many bytes, or returns nil.
-func (r *room) take(holder admission.Holder, body int64) *hold {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// acquire holds memory for a request with a body of that many bytes, or returns nil.
+func (m *requestMemory) acquire(holder admission.Holder, body int64) *hold {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	bytes := requestOverhead + body
-	if !r.room.Take(holder, bytes) {
+	if !m.budget.Acquire(holder, bytes) {
 		return nil
 	}
-	return &hold{room: r, holder: holder, bytes: bytes}
+	return &hold{memory: m, holder: holder, bytes: bytes}
 }
 
 // settle gives back what a body of that many bytes does not need.
@@ -58,9 +60,9 @@
 func (h *hold) release() { h.keep(0) }
 
 func (h *hold) keep(bytes int64) {
-	h.room.mu.Lock()
-	defer h.room.mu.Unlock()
-	h.room.room.Give(h.holder, h.bytes-bytes)
+	h.memory.mu.Lock()
+	defer h.memory.mu.Unlock()
+	h.memory.budget.Release(h.holder, h.bytes-bytes)
 	h.bytes = bytes
 }
 
@@ -81,7 +83,7 @@
 
 // holdBody holds memory for a request of a team with a body of that many bytes, or refuses it.
 func (n *Entry) holdBody(team string, class inventory.Class, body int64) (*hold, error) {
-	h := n.room.take(admission.Holder{Team: team, Deferrable: class.Deferrable}, body)
+	h := n.memory.acquire(admission.Holder{Team: team, Deferrable: class.Deferrable}, body)
 	if h == nil {
 		return nil, problem.New(problem.InstanceFull, http.StatusServiceUnavailable, "instance %q has no room for another request of team %q and class %q", n.cfg.Self.Name, team, class.Name).WithRetryAfter(retryAfterFull)
 	}
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -152,7 +152,7 @@
 // finish sends the end of the answer and waits until it is written.
 func (s *writer) finish(end stream.End) error {
 	if !s.streaming {
-		b := s.answer.Whole(s.text.String(), end)
+		b := s.answer.Complete(s.text.String(), end)
 		s.w.Header().Set("Content-Type", "application/json")
 		s.w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 		return s.flush(b)
--- a/fencing/issuer.go
+++ b/fencing/issuer.go
@@ -31,8 +31,8 @@
 // NewIssuer returns an issuer that has issued no number.
 func NewIssuer(cfg Config) *Issuer { return &Issuer{cfg: cfg} }
 
-// Lead records the lease; a new term starts the wait for orders of former leaders.
-func (x *Issuer) Lead(now time.Time, l Lease) {
+// ObserveLease records the lease; a new term starts the wait for orders of former leaders.
+func (x *Issuer) ObserveLease(now time.Time, l Lease) {
 	if !l.Held || l.Term <= x.last.Term {
 		return
 	}
@@ -44,7 +44,7 @@
 //
 // It returns *NoLeaseError, or *WaitError for an engine that does not check numbers.
 func (x *Issuer) Issue(now time.Time, l Lease, checks bool) (Number, error) {
-	x.Lead(now, l)
+	x.ObserveLease(now, l)
 	n := Number{Term: x.last.Term, Sequence: x.last.Sequence + 1}
 	if err := x.Check(now, l, n, checks); err != nil {
 		return Number{}, err
--- a/fencing/issuer_test.go
+++ b/fencing/issuer_test.go
@@ -218,7 +218,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			x := fencing.NewIssuer(cfg)
-			x.Lead(start, held)
+			x.ObserveLease(start, held)
 			err := x.Check(test.now, test.lease, test.number, test.checks)
 			if (test.want == nil) != (err == nil) || (test.want != nil && !errors.As(err, test.want)) {
 				t.Errorf("Check returned %v", err)
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -43,8 +43,8 @@
 	ColdUntil time.Time
 	// GoneAt is the time at which a reclaimed endpoint ends, even with requests running; zero if it is unknown.
 	GoneAt time.Time
-	// Heard is the time of the last heartbeat.
-	Heard time.Time
+	// LastSeen is the time of the last heartbeat.
+	LastSeen time.Time
 }
 
 // Cold reports whether the endpoint is still warming up.
@@ -74,12 +74,12 @@
 	Ready          bool
 	// Lingering gateways are stopping, but still take requests that no other gateway of their region can take.
 	Lingering bool
-	// Heard is the time of the last report.
-	Heard time.Time
+	// LastSeen is the time of the last report.
+	LastSeen time.Time
 }
 
 // sameState reports whether two records of one gateway differ at most in the time of the last report.
 func (g Gateway) sameState(other Gateway) bool {
-	g.Heard, other.Heard = time.Time{}, time.Time{}
+	g.LastSeen, other.LastSeen = time.Time{}, time.Time{}
 	return g == other
 }
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -77,7 +77,7 @@
 func sameState(a, b Endpoint) bool {
 	drift := a.ColdUntil.Sub(b.ColdUntil).Abs()
 	sameCold := a.ColdUntil.IsZero() == b.ColdUntil.IsZero() && drift < coldTolerance
-	a.Sequence, a.Heard, a.ColdUntil = b.Sequence, b.Heard, b.ColdUntil
+	a.Sequence, a.LastSeen, a.ColdUntil = b.Sequence, b.LastSeen, b.ColdUntil
 	a.GoneAt, b.GoneAt = a.GoneAt.Truncate(time.Second), b.GoneAt.Truncate(time.Second)
 	return sameCold && a == b
 }
@@ -87,16 +87,16 @@
 	t.records[e.ID] = &record{endpoint: e, change: t.change}
 }
 
-// Depart marks an endpoint as gone and reports whether it did; it leaves an incarnation later than born alone, and a
+// Leave marks an endpoint as gone and reports whether it did; it leaves an incarnation later than born alone, and a
 // born of zero means any.
-func (t *Endpoints) Depart(now time.Time, id string, born int64) bool {
+func (t *Endpoints) Leave(now time.Time, id string, born int64) bool {
 	r := t.records[id]
 	if r == nil || r.endpoint.State == Gone || born != 0 && born < r.endpoint.Born {
 		return false
 	}
 	gone := r.endpoint
 	gone.State = Gone
-	gone.Heard = now
+	gone.LastSeen = now
 	t.put(gone)
 	return true
 }
@@ -117,7 +117,7 @@
 		if r.endpoint.State == Gone {
 			limit = goneRetention
 		}
-		if now.Sub(r.endpoint.Heard) > limit {
+		if now.Sub(r.endpoint.LastSeen) > limit {
 			delete(t.records, id)
 		}
 	}
@@ -135,11 +135,11 @@
 	return changed, t.change
 }
 
-// Heard returns the records that were renewed after a time, ordered by id.
-func (t *Endpoints) Heard(after time.Time) []Endpoint {
+// SeenAfter returns the records that were renewed after a time, ordered by id.
+func (t *Endpoints) SeenAfter(after time.Time) []Endpoint {
 	var renewed []Endpoint
 	for _, r := range t.records {
-		if r.endpoint.Heard.After(after) {
+		if r.endpoint.LastSeen.After(after) {
 			renewed = append(renewed, r.endpoint)
 		}
 	}
@@ -168,11 +168,11 @@
 // Announce stores a report and renews the lease; a report of an earlier incarnation or an earlier time is dropped.
 func (t *Gateways) Announce(g Gateway) {
 	old := t.records[g.Name]
-	if old != nil && (g.Born < old.gateway.Born || g.Born == old.gateway.Born && g.Heard.Before(old.gateway.Heard)) {
+	if old != nil && (g.Born < old.gateway.Born || g.Born == old.gateway.Born && g.LastSeen.Before(old.gateway.LastSeen)) {
 		return
 	}
 	if old != nil && !old.gone && old.gateway.sameState(g) {
-		old.gateway.Heard = g.Heard
+		old.gateway.LastSeen = g.LastSeen
 		return
 	}
 	t.change++
@@ -192,10 +192,10 @@
 // Expire marks gateways whose lease has ended as gone, and drops gone ones after goneRetention.
 func (t *Gateways) Expire(now time.Time) {
 	for name, r := range t.records {
-		if !r.gone && now.Sub(r.gateway.Heard) > t.lease {
+		if !r.gone && now.Sub(r.gateway.LastSeen) > t.lease {
 			t.Leave(name, r.gateway.Born)
 		}
-		if r.gone && now.Sub(r.gateway.Heard) > goneRetention {
+		if r.gone && now.Sub(r.gateway.LastSeen) > goneRetention {
 			delete(t.records, name)
 		}
 	}
@@ -231,7 +231,7 @@
 	return changed, t.change
 }
 
-// Heard returns the live gateways that were renewed after a time, ordered by name.
-func (t *Gateways) Heard(after time.Time) []Gateway {
-	return slices.DeleteFunc(t.Live(), func(g Gateway) bool { return !g.Heard.After(after) })
+// SeenAfter returns the live gateways that were renewed after a time, ordered by name.
+func (t *Gateways) SeenAfter(after time.Time) []Gateway {
+	return slices.DeleteFunc(t.Live(), func(g Gateway) bool { return !g.LastSeen.After(after) })
 }
--- a/fleet/table_test.go
+++ b/fleet/table_test.go
@@ -10,7 +10,7 @@
 )
 
 func endpoint(id string, born, sequence int64, state State) Endpoint {
-	return Endpoint{ID: id, Born: born, Sequence: sequence, Service: "s", Address: "10.0.0.1:1", State: state, Heard: time.Unix(1000, 0)}
+	return Endpoint{ID: id, Born: born, Sequence: sequence, Service: "s", Address: "10.0.0.1:1", State: state, LastSeen: time.Unix(1000, 0)}
 }
 
 // TestLateHeartbeats delivers the heartbeats of one id's incarnations in any order: the record is always the newest one
@@ -23,7 +23,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "heartbeats") {
 			e := endpoint("e", rapid.Int64Range(1, 3).Draw(t, "born"), rapid.Int64Range(1, 9).Draw(t, "sequence"), Ready)
 			if rapid.Bool().Draw(t, "leaves") && known {
-				table.Depart(time.Unix(1000, 0), "e", e.Born)
+				table.Leave(time.Unix(1000, 0), "e", e.Born)
 				if e.Born >= newest.Born {
 					newest.State = Gone
 				}
@@ -88,9 +88,9 @@
 func TestGatewayLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewGateways(3 * time.Second)
-	table.Announce(Gateway{Name: "a", Born: 1, Heard: now})
-	table.Announce(Gateway{Name: "b", Born: 1, Heard: now})
-	table.Announce(Gateway{Name: "a", Born: 1, Heard: now.Add(2 * time.Second)})
+	table.Announce(Gateway{Name: "a", Born: 1, LastSeen: now})
+	table.Announce(Gateway{Name: "b", Born: 1, LastSeen: now})
+	table.Announce(Gateway{Name: "a", Born: 1, LastSeen: now.Add(2 * time.Second)})
 	table.Expire(now.Add(4 * time.Second))
 	names := func() (names []string) {
 		for _, g := range table.Live() {
@@ -105,7 +105,7 @@
 	if diff := cmp.Diff([]string{"a"}, names()); diff != "" {
 		t.Errorf("after another incarnation left: %s", diff)
 	}
-	table.Announce(Gateway{Name: "b", Born: 1, Heard: now.Add(5 * time.Second)})
+	table.Announce(Gateway{Name: "b", Born: 1, LastSeen: now.Add(5 * time.Second)})
 	if diff := cmp.Diff([]string{"a", "b"}, names()); diff != "" {
 		t.Error(diff)
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -80,7 +80,7 @@
 	if !a.full {
 		speed := p.speed(a.service)
 		queued := int64(float64(a.queuedTokens) / (1 - a.preemptedShare))
-		s.health = s.health.WithFirst(speed.Base+speed.Token*time.Duration(queued), took)
+		s.health = s.health.WithFirst(speed.Base+speed.PrefillTokenTime*time.Duration(queued), took)
 		p.speeds[a.service] = speed.WithFirst(queued, took)
 	}
 	s.outstanding = s.outstanding.WithBegun(a.load)
@@ -133,7 +133,7 @@
 	switch how {
 	case succeeded:
 		speed := p.speed(a.service)
-		p.speeds[a.service] = speed.WithWhole(a.work, a.uncachedTokens, speed.Held(now.Sub(a.sent), a.firstAt.Sub(a.sent), a.uncachedTokens))
+		p.speeds[a.service] = speed.WithCompleted(a.work, a.uncachedTokens, speed.Held(now.Sub(a.sent), a.firstAt.Sub(a.sent), a.uncachedTokens))
 		s.health = s.health.WithOutcome(false)
 		p.endpointBreakers.Succeeded(now, a.endpoint.ID)
 	case failed:
@@ -240,7 +240,7 @@
 	defer p.mu.Unlock()
 	peer := p.peers[m.GetGateway()]
 	if peer == nil || whole || peer.born != m.GetBorn() {
-		peer = &peerLoad{born: m.GetBorn(), loads: map[string]capacity.Outstanding{}, recent: map[string]capacity.Recent{}, outcomes: map[string]capacity.Outcomes{}}
+		peer = &peerLoad{born: m.GetBorn(), loads: map[string]capacity.Outstanding{}, recent: map[string]capacity.RecentTokens{}, outcomes: map[string]capacity.Outcomes{}}
 		p.peers[m.GetGateway()] = peer
 		clear(p.peerSums)
 	}
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -23,8 +23,8 @@
 	Controls []string
 	// Regions maps each failure domain to its region.
 	Regions map[string]string
-	// Dialect reads and writes the headers of callers and endpoints.
-	Dialect Dialect
+	// Headers reads and writes the headers of callers and endpoints.
+	Headers HeaderCodec
 	// Decode returns the routing table of a document, or an error if it is invalid.
 	Decode func(configuration.Document) (*routes.Table, error)
 	// RetryRatio, RetryReserve and RetryWindow bound the retries of all gateways together: in each window, the ratio
@@ -38,10 +38,10 @@
 	ColdReserve float64
 	// Grace is the time between a planned stop and the end of the process.
 	Grace time.Duration
-	// Detour is the round-trip time between two regions.
-	Detour  time.Duration
-	Keys    *keys.Source
-	Metrics *metrics.Set
+	// RegionRoundTrip is the round-trip time between two regions.
+	RegionRoundTrip time.Duration
+	Keys            *keys.Source
+	Metrics         *metrics.Set
 }
 
 // Call holds what a caller's headers say about its request.
@@ -58,14 +58,14 @@
 // NoEvent is the value of LastEvent without any event.
 const NoEvent = -1
 
-// Order holds the headers that the gateway sets for an endpoint in addition to those of the caller.
-type Order struct {
+// EndpointHeaders holds the headers that the gateway sets for an endpoint in addition to those of the caller.
+type EndpointHeaders struct {
 	// Instance is the ID that the endpoint must have.
 	Instance string
 	// FetchFrom is the address of an engine from which the cached prefix of the prompt is fetched; empty for none.
 	FetchFrom string
-	// Left is the time until the caller's deadline.
-	Left time.Duration
+	// TimeLeft is the time until the caller's deadline.
+	TimeLeft time.Duration
 	// Urgency is the scheduling priority at a model engine, where lower goes first; negative sets none.
 	Urgency   int
 	LastEvent int64
@@ -81,12 +81,12 @@
 	ColdFor time.Duration
 }
 
-// Dialect reads and writes the headers of callers and endpoints.
-type Dialect interface {
+// HeaderCodec reads and writes the headers of callers and endpoints.
+type HeaderCodec interface {
 	// Call reads a caller's headers; it returns an error if they are invalid.
 	Call(h http.Header) (Call, error)
-	// Prepare removes the headers that callers may not set from a copy of their headers, and applies an order.
-	Prepare(h http.Header, o Order)
+	// Prepare removes the headers that callers may not set from a copy of their headers, and sets those of e.
+	Prepare(h http.Header, e EndpointHeaders)
 	// Forward sets the time left in headers that are sent to another gateway.
 	Forward(h http.Header, left time.Duration)
 	// Owns reports whether an answer belongs to the request with the ID; fresh means that its connection is new.
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -4,5 +4,5 @@
 // A request crosses regions at most once, and only into regions that its route allows. Every failure carries the known
 // outcome of the request from the socket to the status: only a request that certainly has not run is reported as not
 // run. The placer makes the decisions without I/O, from a view that the session with a control daemon keeps up to date.
-// The names of headers are defined by the Dialect.
+// The names of headers are defined by the HeaderCodec.
 package gateway
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -18,20 +18,20 @@
 	j.tried[d.gateway.Name] = true
 	j.chargedRuns = max(j.maxRuns()-j.runs, 1)
 	h := copyHeader(j.r.Header)
-	g.cfg.Dialect.Forward(h, j.deadline.Sub(now)-forwardMargin)
+	g.cfg.Headers.Forward(h, j.deadline.Sub(now)-forwardMargin)
 	if j.streaming() {
-		g.cfg.Dialect.Prepare(h, Order{Left: j.deadline.Sub(now) - forwardMargin, Urgency: -1, LastEvent: j.lastEvent()})
+		g.cfg.Headers.Prepare(h, EndpointHeaders{TimeLeft: j.deadline.Sub(now) - forwardMargin, Urgency: -1, LastEvent: j.lastEvent()})
 	}
 	h.Set(attemptsHeader, strconv.Itoa(j.chargedRuns))
 	h.Set(drawHeader, strconv.FormatFloat(j.draw, 'g', -1, 64))
-	h.Set(ageHeader, strconv.FormatInt((j.age+now.Sub(j.received)+g.cfg.Detour/2).Milliseconds(), 10))
+	h.Set(ageHeader, strconv.FormatInt((j.age+now.Sub(j.received)+g.cfg.RegionRoundTrip/2).Milliseconds(), 10))
 	ctx, cancel := context.WithCancelCause(j.ctx)
 	defer cancel(nil)
 	timer := j.startFirstTimer(d, cancel)
 	answer, err := g.peers.Send(ctx, d.gateway.ForwardAddress, &exchange.Request{
 		Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body, Repeatable: j.route.Repeatable(),
 		Owns: func(a *http.Response, _ bool) bool {
-			return a.Header.Get(outcomeHeader) != "" || g.cfg.Dialect.Owns(a.Header, a.StatusCode, j.call.ID, false)
+			return a.Header.Get(outcomeHeader) != "" || g.cfg.Headers.Owns(a.Header, a.StatusCode, j.call.ID, false)
 		},
 	})
 	if err != nil {
@@ -51,7 +51,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxRejectionBytes))
 		return j.recordForwardFailure(d, answer, outcome)
 	}
-	_, step := j.relayAnswer(ctx, answer, g.cfg.Dialect.Verdict(answer.Header, answer.Status), nil, timer)
+	_, step := j.relayAnswer(ctx, answer, g.cfg.Headers.Verdict(answer.Header, answer.Status), nil, timer)
 	return step
 }
 
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -24,10 +24,10 @@
 	"arbutusreel/routes"
 )
 
-// testDialect implements Dialect with short header names.
-type testDialect struct{}
+// testHeaderCodec implements HeaderCodec with short header names.
+type testHeaderCodec struct{}
 
-func (testDialect) Call(h http.Header) (Call, error) {
+func (testHeaderCodec) Call(h http.Header) (Call, error) {
 	c := Call{ID: h.Get("Id"), LastEvent: NoEvent}
 	if n, err := strconv.ParseInt(h.Get("Last"), 10, 64); err == nil {
 		c.LastEvent = n
@@ -41,22 +41,22 @@
 	return c, nil
 }
 
-func (testDialect) Prepare(h http.Header, o Order) {
-	h.Set("Instance", o.Instance)
-	if o.LastEvent >= 0 {
-		h.Set("Last", strconv.FormatInt(o.LastEvent, 10))
+func (testHeaderCodec) Prepare(h http.Header, e EndpointHeaders) {
+	h.Set("Instance", e.Instance)
+	if e.LastEvent >= 0 {
+		h.Set("Last", strconv.FormatInt(e.LastEvent, 10))
 	}
 }
 
-func (testDialect) Forward(h http.Header, left time.Duration) {
+func (testHeaderCodec) Forward(h http.Header, left time.Duration) {
 	h.Set("Patience", strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-func (testDialect) Owns(h http.Header, _ int, id string, fresh bool) bool {
+func (testHeaderCodec) Owns(h http.Header, _ int, id string, fresh bool) bool {
 	return h.Get("Id") == id || fresh && h.Get("Id") == ""
 }
 
-func (testDialect) Verdict(h http.Header, _ int) Verdict {
+func (testHeaderCodec) Verdict(h http.Header, _ int) Verdict {
 	return Verdict{Rejected: h.Get("Rejected") != "", Signed: h.Get("Signed") != ""}
 }
 
@@ -183,8 +183,8 @@
 func testConfig() Config {
 	return Config{
 		Name: "gateway-a", Region: "here", FailureDomain: "here-a", Regions: map[string]string{"here-a": "here", "there-a": "there"},
-		Dialect: testDialect{}, RetryRatio: 1, RetryReserve: 100, RetryWindow: 10 * time.Second, ColdBurst: 1, Grace: time.Second,
-		Detour: 10 * time.Millisecond, Keys: keys.Plain(), Metrics: metrics.New(),
+		Headers: testHeaderCodec{}, RetryRatio: 1, RetryReserve: 100, RetryWindow: 10 * time.Second, ColdBurst: 1, Grace: time.Second,
+		RegionRoundTrip: 10 * time.Millisecond, Keys: keys.Plain(), Metrics: metrics.New(),
 	}
 }
 
@@ -194,7 +194,7 @@
 	g := New(testConfig(), zerolog.Nop(), rand.NewPCG(1, 1))
 	v := &view{table: table, endpoints: map[string][]fleet.Endpoint{}, updatedAt: time.Now(), current: true}
 	for i, e := range endpoints {
-		v.endpoints["desk"] = append(v.endpoints["desk"], fleet.Endpoint{ID: e.id, Born: 1, Service: "desk", Address: e.address, Slots: 8, Heard: time.Now()})
+		v.endpoints["desk"] = append(v.endpoints["desk"], fleet.Endpoint{ID: e.id, Born: 1, Service: "desk", Address: e.address, Slots: 8, LastSeen: time.Now()})
 		// A later endpoint looks slower, so that the order of attempts is fixed.
 		g.placer.states[e.id] = &endpointState{
 			born: 1, health: capacity.Health{Factor: 2 + 2*float64(i)}, cachedParts: map[string]time.Time{}, coldWindow: capacity.NewWindow(time.Second),
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -28,7 +28,7 @@
 type endpointState struct {
 	born        int64
 	outstanding capacity.Outstanding
-	recent      capacity.Recent
+	recent      capacity.RecentTokens
 	health      capacity.Health
 	// outcomes counts the results of this gateway's requests, the endpoint's own error answers included.
 	outcomes capacity.Outcomes
@@ -47,7 +47,7 @@
 	receivedAt time.Time
 	loads      map[string]capacity.Outstanding
 	// recent holds the prompt tokens that it sent recently, by endpoint.
-	recent map[string]capacity.Recent
+	recent map[string]capacity.RecentTokens
 	// outcomes holds the recent results of its requests, by endpoint.
 	outcomes map[string]capacity.Outcomes
 }
@@ -90,7 +90,7 @@
 // peerSum is the outstanding and recent load of the other gateways of the region at an endpoint.
 type peerSum struct {
 	outstanding capacity.Outstanding
-	recent      capacity.Recent
+	recent      capacity.RecentTokens
 	outcomes    capacity.Outcomes
 }
 
@@ -124,7 +124,7 @@
 	route   *routes.Route
 	service *routes.Service
 	work    capacity.Work
-	asked   capacity.Asked
+	budget  capacity.TimeBudget
 	// tried holds the endpoints, gateways and regions that must not be tried again.
 	tried map[string]bool
 	// forwarded requests came from another region and must not leave this one.
@@ -184,32 +184,32 @@
 	}
 	if ok {
 		here.endpoint = *endpoints[choice.Index]
-		if choice.Keeper >= 0 {
-			here.fetchFrom = endpoints[choice.Keeper].Address
+		if choice.FetchFrom >= 0 {
+			here.fetchFrom = endpoints[choice.FetchFrom].Address
 		}
-		here.expected, here.cost, here.uncachedTokens = choice.Expected, choice.Cost, choice.Unread
-		here.affinity, here.full = choice.Favourite, choice.Full
+		here.expected, here.cost, here.uncachedTokens = choice.Expected, choice.Cost, choice.UncachedTokens
+		here.affinity, here.full = choice.Preferred, choice.Full
 		here.backlog = local[choice.Index].Outstanding
-		here.addedLoad, here.rank = q.work.Load(choice.Unread), q.work.Rank
+		here.addedLoad, here.rank = q.work.Load(choice.UncachedTokens), q.work.Rank
 		late := q.work
 		late.Rank = capacity.Rank(q.route.Priority, true)
-		here.verdict = capacity.Admit(choice.Expected, capacity.Expected(local[choice.Index], late, choice.Unread, speed).Wait, q.asked)
+		here.verdict = capacity.Admit(choice.Expected, capacity.EstimateWait(local[choice.Index], late, choice.UncachedTokens, speed).Wait, q.budget)
 		here.reason = reasonBacklog
 		if q.mustPlace {
 			here.verdict = capacity.Take
 		}
 		if here.verdict == capacity.TakeLate {
-			here.addedLoad, here.rank = late.Load(choice.Unread), late.Rank
+			here.addedLoad, here.rank = late.Load(choice.UncachedTokens), late.Rank
 		}
-		here.preemptedShare = speed.Overtaking.Reading[here.rank]
+		here.preemptedShare = speed.Overtaking.Prefill[here.rank]
 	}
-	if !q.forwarded && (here.verdict != capacity.Take || here.cost > p.cfg.Detour+minCrossRegionGain) {
+	if !q.forwarded && (here.verdict != capacity.Take || here.cost > p.cfg.RegionRoundTrip+minCrossRegionGain) {
 		if there, ok := p.crossRegion(now, v, q, speed, here); ok {
 			return there
 		}
 	}
 	if here.verdict == capacity.Refuse {
-		here.retryAfter = capacity.RetryAfter(min(here.expected, 2*q.route.Objective), q.asked, p.rng.Float64())
+		here.retryAfter = capacity.RetryAfter(min(here.expected, 2*q.route.Objective), q.budget, p.rng.Float64())
 	}
 	return here
 }
@@ -230,7 +230,7 @@
 	q.work.Rank = capacity.Rank(q.route.Priority, false)
 	local, _ := p.localCandidates(now, v, q)
 	choice, ok := capacity.Choose(local, q.work, p.currentSpeed(now, v, q.service.Name), fetchTime(q.service), q.route.Objective, 0)
-	return ok && capacity.Admit(choice.Expected, choice.Expected, q.asked) == capacity.Take
+	return ok && capacity.Admit(choice.Expected, choice.Expected, q.budget) == capacity.Take
 }
 
 // localCandidates returns the endpoints of this region that may take a request. The slices are valid until the next
@@ -256,11 +256,11 @@
 		peers := p.peerSum(now, e.ID)
 		c := capacity.Candidate{
 			ID: e.ID, Outstanding: s.outstanding.Plus(peers.outstanding), Health: s.health, Slots: e.Slots, Busy: s.prefillShare(now, speed, peers),
-			Failing: s.outcomes.Plus(now, peers.outcomes).Failing(now), Remote: e.FailureDomain != p.cfg.FailureDomain,
+			FailureRate: s.outcomes.Plus(now, peers.outcomes).FailureRate(now), Remote: e.FailureDomain != p.cfg.FailureDomain,
 		}
 		if q.service.Engine != nil {
 			c.Memory = q.service.Engine.CacheTokens
-			c.KeptParts = s.cachedPartCount(now, q.work)
+			c.CachedParts = s.cachedPartCount(now, q.work)
 		}
 		p.candidates, p.endpoints = append(p.candidates, c), append(p.endpoints, e)
 	}
@@ -363,5 +363,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.longestPatience[route] = max(p.longestPatience[route], patience)
-	return patience > 0 && capacity.Returned(patience, p.longestPatience[route])
+	return patience > 0 && capacity.IsRetry(patience, p.longestPatience[route])
 }
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -39,7 +39,7 @@
 func ask(r *routes.Route, s *routes.Service) query {
 	return query{
 		route: r, service: s, work: capacity.Work{PromptTokens: 1000, OutputTokens: 100}, tried: map[string]bool{},
-		asked: capacity.Asked{Objective: r.Objective, WholeObjective: r.Objective, Left: r.Timeout},
+		budget: capacity.TimeBudget{Objective: r.Objective, RouteObjective: r.Objective, Remaining: r.Timeout},
 	}
 }
 
@@ -134,7 +134,7 @@
 // gets all requests again without a new record from a control daemon.
 func TestEndpointReachableAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
-	e := fleet.Endpoint{ID: "a", Born: 7, Service: "model", Slots: 128, State: fleet.Ready, Heard: now.Add(-time.Minute)}
+	e := fleet.Endpoint{ID: "a", Born: 7, Service: "model", Slots: 128, State: fleet.Ready, LastSeen: now.Add(-time.Minute)}
 	for name, answers := range map[string]bool{"answered": true, "later": false} {
 		t.Run(name, func(t *testing.T) {
 			placers, v, r, s := newPlacers(t, 3, e)
@@ -204,8 +204,8 @@
 	for i := range gateways {
 		v.gateways = append(v.gateways, fleet.Gateway{Name: fmt.Sprintf("there-%d", i), Region: "there", Ready: true})
 	}
-	room := capacity.Room{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
-	v.capacities = map[string]regionCapacity{"there": {reportedAt: now, services: map[string]capacity.Room{"model": room}}}
+	there := capacity.RegionCapacity{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
+	v.capacities = map[string]regionCapacity{"there": {reportedAt: now, services: map[string]capacity.RegionCapacity{"model": there}}}
 	crosses := func() bool {
 		at := p.decide(now, v, ask(r, s))
 		if at.region == "" {
@@ -249,8 +249,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			placers, v, r, s := newPlacers(t, 1, c.endpoints...)
 			v.gateways = append(v.gateways, fleet.Gateway{Name: "there-0", Region: "there", Ready: true})
-			room := capacity.Room{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
-			v.capacities = map[string]regionCapacity{"there": {reportedAt: now.Add(-c.age), services: map[string]capacity.Room{"model": room}}}
+			there := capacity.RegionCapacity{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
+			v.capacities = map[string]regionCapacity{"there": {reportedAt: now.Add(-c.age), services: map[string]capacity.RegionCapacity{"model": there}}}
 			if len(c.endpoints) > 0 {
 				placers[0].state(&c.endpoints[0]).outstanding.PromptTokens[0] = 50_000
 			}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -25,13 +25,13 @@
 // crossRegion returns a gateway of another region if the request is expected to be served at a lower cost there.
 func (p *placer) crossRegion(now time.Time, v *view, q query, speed capacity.Speed, here decision) (decision, bool) {
 	available := p.availableGateways(now, v, q)
-	there, ok := capacity.Cross(p.capacitiesOf(now, v, q, available), q.work, speed, p.cfg.Detour, here.cost)
+	there, ok := capacity.ChooseRegion(p.capacitiesOf(now, v, q, available), q.work, speed, p.cfg.RegionRoundTrip, here.cost)
 	if !ok && here.expected == noEndpointTime {
 		there.Region, ok = p.staleRegion(now, v, q, available)
-		there.Expected = speed.Base + p.cfg.Detour
+		there.Expected = speed.Base + p.cfg.RegionRoundTrip
 		there.Late = there.Expected
 	}
-	verdict := capacity.Admit(there.Expected, there.Late, q.asked)
+	verdict := capacity.Admit(there.Expected, there.Late, q.budget)
 	if !ok || !shouldCrossRegion(here, there.Cost, verdict) {
 		return decision{}, false
 	}
@@ -69,8 +69,8 @@
 }
 
 // capacitiesOf returns the reported capacities of regions for a service.
-func (p *placer) capacitiesOf(now time.Time, v *view, q query, available map[string][]fleet.Gateway) []capacity.Room {
-	var capacities []capacity.Room
+func (p *placer) capacitiesOf(now time.Time, v *view, q query, available map[string][]fleet.Gateway) []capacity.RegionCapacity {
+	var capacities []capacity.RegionCapacity
 	for region := range available {
 		reported := v.capacities[region]
 		if rc, ok := reported.services[q.service.Name]; ok {
@@ -89,7 +89,7 @@
 	for region := range regions {
 		rc, known := v.capacities[region].services[q.service.Name]
 		rc.Age = now.Sub(v.capacities[region].reportedAt)
-		if !known || !rc.Current() {
+		if !known || !rc.Fresh() {
 			stale = append(stale, region)
 		}
 	}
@@ -154,7 +154,7 @@
 			continue
 		}
 		peers := p.peerSum(now, e.ID)
-		if s.outcomes.Plus(now, peers.outcomes).Failing(now) > capacity.FailingShare {
+		if s.outcomes.Plus(now, peers.outcomes).FailureRate(now) > capacity.MaxFailureRate {
 			continue
 		}
 		c := capacity.Candidate{ID: e.ID, Outstanding: s.outstanding.Plus(peers.outstanding), Health: s.health, Slots: e.Slots}
@@ -162,14 +162,14 @@
 			c.Memory = service.Engine.CacheTokens
 		}
 		for rank := range capacity.Ranks {
-			wait := capacity.Expected(c, capacity.Work{Rank: rank}, 0, speed).Wait
+			wait := capacity.EstimateWait(c, capacity.Work{Rank: rank}, 0, speed).Wait
 			m.WaitMillis[rank] = min(m.WaitMillis[rank], wait.Milliseconds())
 		}
-		last := capacity.Expected(c, capacity.Work{Rank: capacity.Ranks - 1}, 0, speed)
+		last := capacity.EstimateWait(c, capacity.Work{Rank: capacity.Ranks - 1}, 0, speed)
 		m.Endpoints++
 		busy += s.prefillShare(now, speed, peers)
 		if !last.Full && last.Wait < capacityObjective {
-			tokens := int64(capacityObjective-last.Wait) / int64(max(speed.Token, 1))
+			tokens := int64(capacityObjective-last.Wait) / int64(max(speed.PrefillTokenTime, 1))
 			if c.Memory > 0 {
 				tokens = min(tokens, c.Memory-c.Outstanding.HeldTokens)
 			}
@@ -186,8 +186,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range reports {
-		before := capacity.Room{Age: now.Sub(v.capacities[m.GetRegion()].reportedAt)}
-		if now := (capacity.Room{Age: time.Duration(m.GetAgeMillis()) * time.Millisecond}); !before.Current() && now.Current() {
+		before := capacity.RegionCapacity{Age: now.Sub(v.capacities[m.GetRegion()].reportedAt)}
+		if now := (capacity.RegionCapacity{Age: time.Duration(m.GetAgeMillis()) * time.Millisecond}); !before.Fresh() && now.Fresh() {
 			regained = append(regained, m.GetRegion())
 			p.regionBreakers.Forget(m.GetRegion())
 			for _, g := range v.gateways {
@@ -197,7 +197,7 @@
 			}
 		}
 		// A request that was forwarded just before the report was made is not included in it yet.
-		reflectedUntil := now.Add(-time.Duration(m.GetAgeMillis())*time.Millisecond - p.cfg.Detour)
+		reflectedUntil := now.Add(-time.Duration(m.GetAgeMillis())*time.Millisecond - p.cfg.RegionRoundTrip)
 		var kept []sentTokens
 		for _, s := range p.sentToRegion[m.GetRegion()] {
 			if s.at.After(reflectedUntil) {
--- a/gateway/replay_test.go
+++ b/gateway/replay_test.go
@@ -292,8 +292,8 @@
 	route := p.table.Match(testHost, "/"+r.kind.name+"/x")
 	q := query{
 		route: route, service: p.table.Service("model"), tried: map[string]bool{},
-		work:  capacity.Work{PromptTokens: int64(r.prompt), OutputTokens: int64(r.output)},
-		asked: capacity.Asked{Objective: route.Objective, WholeObjective: route.Objective, Left: route.Timeout},
+		work:   capacity.Work{PromptTokens: int64(r.prompt), OutputTokens: int64(r.output)},
+		budget: capacity.TimeBudget{Objective: route.Objective, RouteObjective: route.Objective, Remaining: route.Timeout},
 	}
 	at := p.placers[r.gateway].decide(now, p.view, q)
 	if at.verdict == capacity.Refuse {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -82,7 +82,7 @@
 	work := j.call.Work
 	work.Bytes = int64(len(j.body)) + answerBytes(j.service, work.OutputTokens)
 	return query{
-		route: j.route, service: j.service, work: work, asked: j.asked(now), tried: j.tried,
+		route: j.route, service: j.service, work: work, budget: j.timeBudget(now), tried: j.tried,
 		forwarded: j.forwarded, mustPlace: j.streaming(),
 	}
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -48,14 +48,14 @@
 	j.chargedRuns = 1
 	a := g.placer.begin(now, j.service.Name, j.call.Work, d)
 	h := copyHeader(j.r.Header)
-	g.cfg.Dialect.Prepare(h, Order{Instance: d.endpoint.ID, FetchFrom: d.fetchFrom, Left: j.deadline.Sub(now), Urgency: j.urgency(d.verdict), LastEvent: j.lastEvent()})
+	g.cfg.Headers.Prepare(h, EndpointHeaders{Instance: d.endpoint.ID, FetchFrom: d.fetchFrom, TimeLeft: j.deadline.Sub(now), Urgency: j.urgency(d.verdict), LastEvent: j.lastEvent()})
 	ctx, cancel := context.WithCancelCause(j.ctx)
 	defer cancel(nil)
 	timer := j.startFirstTimer(d, cancel)
 	answer, err := g.pool.Send(ctx, d.endpoint.Address, &exchange.Request{
 		Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body, Repeatable: j.route.Repeatable(),
 		Owns: func(a *http.Response, fresh bool) bool {
-			return g.cfg.Dialect.Owns(a.Header, a.StatusCode, j.call.ID, fresh)
+			return g.cfg.Headers.Owns(a.Header, a.StatusCode, j.call.ID, fresh)
 		},
 	})
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	defer answer.Close()
 	j.sends++
-	verdict := g.cfg.Dialect.Verdict(answer.Header, answer.Status)
+	verdict := g.cfg.Headers.Verdict(answer.Header, answer.Status)
 	if verdict.ColdFor > 0 {
 		g.placer.recordCold(time.Now(), d.endpoint, verdict.ColdFor)
 	}
@@ -96,7 +96,7 @@
 	}
 	q := j.query(time.Now())
 	q.tried = maps.Clone(j.tried)
-	q.asked.Objective = j.route.Objective
+	q.budget.Objective = j.route.Objective
 	timer.mu.Lock()
 	defer timer.mu.Unlock()
 	timer.timer = time.AfterFunc(limit, func() {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -106,7 +106,7 @@
 		return problem.New(problem.NotReady, http.StatusServiceUnavailable, "no routing document is in force yet").
 			WithRetryAfter(j.g.notReadyRetryAfter(j.received))
 	}
-	call, err := j.g.cfg.Dialect.Call(j.r.Header)
+	call, err := j.g.cfg.Headers.Call(j.r.Header)
 	if err != nil {
 		return problem.New(problem.MalformedRequest, http.StatusBadRequest, "%v", err)
 	}
@@ -193,11 +193,11 @@
 	return nil
 }
 
-// asked returns the caller's objective and the time that is left.
-func (j *job) asked(now time.Time) capacity.Asked {
-	return capacity.Asked{
-		Objective: j.route.Objective - j.age - now.Sub(j.received), Left: j.deadline.Sub(now), WholeObjective: j.route.Objective,
-		Returned: j.refusedBefore,
+// timeBudget returns the caller's objective and the time that is left.
+func (j *job) timeBudget(now time.Time) capacity.TimeBudget {
+	return capacity.TimeBudget{
+		Objective: j.route.Objective - j.age - now.Sub(j.received), Remaining: j.deadline.Sub(now), RouteObjective: j.route.Objective,
+		Retried: j.refusedBefore,
 	}
 }
 
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -268,7 +268,7 @@
 
 // TestForward forwards a request whose route is not allowed in the region to a gateway of another one, at most once.
 func TestForward(t *testing.T) {
-	homes := func(r *routes.Route) { r.Homes = []string{"there"} }
+	homeRegions := func(r *routes.Route) { r.HomeRegions = []string{"there"} }
 	a := newEndpoint(t, "a", func(c *endpointConn, r *http.Request, _ int) bool {
 		c.head(r.Header.Get("Id"))
 		c.event(0)
@@ -276,10 +276,10 @@
 		c.end()
 		return true
 	})
-	there := newGateway(t, testTable(t, homes), a)
+	there := newGateway(t, testTable(t, homeRegions), a)
 	there.cfg.Region, there.placer.cfg.Region = "there", "there"
 	forwards := newForwardServer(t, there)
-	here := newGateway(t, testTable(t, homes))
+	here := newGateway(t, testTable(t, homeRegions))
 	v := *here.view.Load()
 	v.gateways = []fleet.Gateway{{Name: "gateway-b", Region: "there", ForwardAddress: forwards, Ready: true}}
 	here.view.Store(&v)
@@ -305,11 +305,11 @@
 		c.plain(r.Header.Get("Id"), 500, "failed")
 		return true
 	}
-	homes := func(r *routes.Route) { r.Homes = []string{"there"} }
+	homeRegions := func(r *routes.Route) { r.HomeRegions = []string{"there"} }
 	a, b, c := newEndpoint(t, "a", fails), newEndpoint(t, "b", fails), newEndpoint(t, "c", fails)
-	there := newGateway(t, testTable(t, homes), a, b, c)
+	there := newGateway(t, testTable(t, homeRegions), a, b, c)
 	there.cfg.Region, there.placer.cfg.Region = "there", "there"
-	here := newGateway(t, testTable(t, homes))
+	here := newGateway(t, testTable(t, homeRegions))
 	v := *here.view.Load()
 	for _, name := range []string{"gateway-b", "gateway-c"} {
 		v.gateways = append(v.gateways, fleet.Gateway{Name: name, Region: "there", ForwardAddress: newForwardServer(t, there), Ready: true})
@@ -346,14 +346,14 @@
 		check(t, newGateway(t, testTable(t, quick), a, b), a, b)
 	})
 	t.Run("there", func(t *testing.T) {
-		homes := func(r *routes.Route) {
+		homeRegions := func(r *routes.Route) {
 			quick(r)
-			r.Homes = []string{"there"}
+			r.HomeRegions = []string{"there"}
 		}
 		a, b := newEndpoint(t, "a", slow), newEndpoint(t, "b", slow)
-		there := newGateway(t, testTable(t, homes), a, b)
+		there := newGateway(t, testTable(t, homeRegions), a, b)
 		there.cfg.Region, there.placer.cfg.Region = "there", "there"
-		here := newGateway(t, testTable(t, homes))
+		here := newGateway(t, testTable(t, homeRegions))
 		v := *here.view.Load()
 		v.gateways = []fleet.Gateway{{Name: "gateway-b", Region: "there", ForwardAddress: newForwardServer(t, there), Ready: true}}
 		here.view.Store(&v)
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -355,7 +355,7 @@
 		e := wire.DecodeFleetEndpoint(now, m)
 		if g.state.updateEndpoint(e) {
 			g.log.Info().Str("endpoint", e.ID).Str("service", e.Service).Str("state", e.State.String()).Str("address", e.Address).
-				Dur("silent", now.Sub(e.Heard)).Bool("cold", e.Cold(now)).Str("control", control).Msg("endpoint state updated")
+				Dur("silent", now.Sub(e.LastSeen)).Bool("cold", e.Cold(now)).Str("control", control).Msg("endpoint state updated")
 		}
 		if e.State == fleet.Gone {
 			g.pool.Drop(e.Address)
@@ -401,9 +401,9 @@
 
 // decodeRegionCapacity decodes the reported capacity of a region.
 func decodeRegionCapacity(now time.Time, m *wiregen.RegionRoom) regionCapacity {
-	rc := regionCapacity{reportedAt: now.Add(-time.Duration(m.GetAgeMillis()) * time.Millisecond), services: map[string]capacity.Room{}}
+	rc := regionCapacity{reportedAt: now.Add(-time.Duration(m.GetAgeMillis()) * time.Millisecond), services: map[string]capacity.RegionCapacity{}}
 	for _, s := range m.GetRoom() {
-		sc := capacity.Room{
+		sc := capacity.RegionCapacity{
 			Region: m.GetRegion(), PromptTokens: s.GetPromptTokens(), Endpoints: int(s.GetEndpoints()), Busy: float64(s.GetBusyPermille()) / permille,
 		}
 		for rank, wait := range s.GetWaitMillis()[:min(len(s.GetWaitMillis()), capacity.Ranks)] {
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -30,7 +30,7 @@
 // regionCapacity is the capacity that a region reported, by service.
 type regionCapacity struct {
 	reportedAt time.Time
-	services   map[string]capacity.Room
+	services   map[string]capacity.RegionCapacity
 }
 
 // version returns the version of the routing table in force, or zero if there is none.
@@ -144,7 +144,7 @@
 		table: st.table, endpoints: map[string][]fleet.Endpoint{}, capacities: maps.Clone(st.capacities),
 	}
 	for id, e := range st.endpoints {
-		if now.Sub(e.Heard) > endpointTTL {
+		if now.Sub(e.LastSeen) > endpointTTL {
 			delete(st.endpoints, id)
 			continue
 		}
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		if e.grant != nil {
-			n.teams[e.to].Take(n.local(e.to, now), *e.grant)
+			n.teams[e.to].AcceptGrant(n.local(e.to, now), *e.grant)
 			continue
 		}
 		if g, ok := n.teams[e.to].Lend(n.local(e.to, now), *e.ask); ok {
@@ -213,7 +213,7 @@
 	for _, a := range n.teams[borrower].Asks(n.local(borrower, now)) {
 		if a.Lender == owner {
 			g, _ := n.teams[lender].Lend(n.local(lender, now), a)
-			n.teams[borrower].Take(n.local(borrower, now), g)
+			n.teams[borrower].AcceptGrant(n.local(borrower, now), g)
 		}
 	}
 	for ended := now.Add(2 * LeaseTime); now.Before(ended); now = now.Add(time.Millisecond) {
@@ -250,7 +250,7 @@
 	for _, home := range []string{"lahore", "unknown"} {
 		var sum float64
 		for _, region := range regions {
-			sum += Part(Limit{HomeRegion: home, TokensPerSecond: limit}, region, regions)
+			sum += RegionShare(Limit{HomeRegion: home, TokensPerSecond: limit}, region, regions)
 		}
 		if sum < limit-1e-9 || sum > limit+1e-9 {
 			t.Errorf("shares sum to %v with home %q", sum, home)
--- a/limits/teams.go
+++ b/limits/teams.go
@@ -53,8 +53,8 @@
 	return owner, ok
 }
 
-// Part returns a region's share of a limit, in tokens per second; the shares of all regions sum to the limit.
-func Part(l Limit, region string, regions []string) float64 {
+// RegionShare returns a region's share of a limit, in tokens per second; the shares of all regions sum to the limit.
+func RegionShare(l Limit, region string, regions []string) float64 {
 	if !slices.Contains(regions, region) {
 		return 0
 	}
@@ -105,7 +105,7 @@
 	ownRate := 0.0
 	a.setOwner(owners[t.self.Region])
 	if owners[t.self.Region] == t.self.Instance && !t.leaving {
-		ownRate = Part(l, t.self.Region, regions)
+		ownRate = RegionShare(l, t.self.Region, regions)
 	}
 	a.idleRate = l.TokensPerSecond * idleShare / float64(max(len(members), 1))
 	a.setOwnRate(now, ownRate)
@@ -160,8 +160,8 @@
 	return a.lend(now, ask), true
 }
 
-// Take starts to use a grant; one that is late or not for this instance has no effect.
-func (t *Teams) Take(now time.Time, g Grant) {
+// AcceptGrant starts to use a grant; one that is late or not for this instance has no effect.
+func (t *Teams) AcceptGrant(now time.Time, g Grant) {
 	if a := t.accounts[g.Team]; a != nil {
 		a.acceptGrant(now, g)
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -46,13 +46,13 @@
 // Pending returns the number of ordered changes that are not announced yet.
 func (p *Planner) Pending() int { return len(p.pending) }
 
-// Learned returns the endpoints whose loads the last decision adopted as ordered by an earlier leader.
-func (p *Planner) Learned() []Endpoint { return p.adopted }
+// AdoptedLoads returns the endpoints whose loads the last decision adopted as ordered by an earlier leader.
+func (p *Planner) AdoptedLoads() []Endpoint { return p.adopted }
 
 // Failed drops a change that its endpoint refused or did not receive, and starts the cooldown of the endpoint.
 func (p *Planner) Failed(now time.Time, endpoint string) {
 	delete(p.pending, endpoint)
-	p.cooldownUntil[endpoint] = now.Add(p.cfg.Rest)
+	p.cooldownUntil[endpoint] = now.Add(p.cfg.Cooldown)
 }
 
 // Decide returns the changes to order now, the most urgent first, and records them as pending.
@@ -84,7 +84,7 @@
 	for _, e := range endpoints {
 		if c, ok := p.pending[e.Name]; ok && matchesOrder(e.Models, c.models) {
 			delete(p.pending, e.Name)
-			p.cooldownUntil[e.Name] = now.Add(p.cfg.Rest)
+			p.cooldownUntil[e.Name] = now.Add(p.cfg.Cooldown)
 		}
 	}
 	for name, c := range p.pending {
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -163,7 +163,7 @@
 		{"below minimum", []string{"a", "a"}, demand(50, 0), []placement.Reason{placement.BelowMinimum}},
 		{"no copy to spare", []string{"a"}, demand(0, 500), nil},
 		{"last copy of a busy model is kept", []string{"a", "b"}, demand(0, 500), nil},
-		{"short of b", []string{"a", "a", "b"}, demand(50, 250), []placement.Reason{placement.Short}},
+		{"short of b", []string{"a", "a", "b"}, demand(50, 250), []placement.Reason{placement.DemandAboveSupply}},
 		{"gain too small", []string{"a", "a", "b"}, demand(150, 155), nil},
 	}
 	for _, test := range tests {
--- a/placement/propose.go
+++ b/placement/propose.go
@@ -133,7 +133,7 @@
 		if g.units[u].need <= supply[u] {
 			continue
 		}
-		if c, ok := g.bestChange(u, Short); ok && c.Gain > best.Gain {
+		if c, ok := g.bestChange(u, DemandAboveSupply); ok && c.Gain > best.Gain {
 			best = c
 		}
 	}
@@ -154,7 +154,7 @@
 				continue
 			}
 			o.gain = g.metDemandWith(o) - before
-			if reason != Short || o.gain >= g.minGain(m, seconds) {
+			if reason != DemandAboveSupply || o.gain >= g.minGain(m, seconds) {
 				found.consider(o, newDomain)
 			}
 		}
--- a/placement/types.go
+++ b/placement/types.go
@@ -53,8 +53,8 @@
 	BelowMinimum Reason = "belowMinimum"
 	// OldVersion means that an endpoint holds another version of the model than the one in force.
 	OldVersion Reason = "versionNotInForce"
-	// Short means that the endpoints that hold the model cannot meet its demand.
-	Short Reason = "demandAboveSupply"
+	// DemandAboveSupply means that the endpoints that hold the model cannot meet its demand.
+	DemandAboveSupply Reason = "demandAboveSupply"
 )
 
 // urgency orders reasons; lower is more urgent.
@@ -96,8 +96,8 @@
 type Config struct {
 	// Persistence is how long a need must last before a change is made for it.
 	Persistence time.Duration
-	// Rest is the cooldown of an endpoint after a change.
-	Rest time.Duration
+	// Cooldown is how long an endpoint is not changed again after a change.
+	Cooldown time.Duration
 	// Horizon is the time over which the gain of a change must outweigh its load time.
 	Horizon time.Duration
 	// LoadGrace is added to the expected load time before a change counts as failed.
@@ -110,7 +110,7 @@
 func DefaultConfig(period time.Duration) Config {
 	return Config{
 		Persistence: 2 * period,
-		Rest:        4 * period,
+		Cooldown:    4 * period,
 		Horizon:     10 * time.Minute,
 		LoadGrace:   30 * time.Second,
 		MinGain:     0.1,
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -38,7 +38,7 @@
 func (h *Hub) take(u distribution.Update) (whole []byte, ok bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ok, err = h.versions.Take(u)
+	ok, err = h.versions.Apply(u)
 	return h.versions.Whole(), h.notify(ok), err
 }
 
@@ -89,7 +89,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, i := range instances {
-		h.reports.Take(i)
+		h.reports.Update(i)
 	}
 }
 
--- a/relay/server.go
+++ b/relay/server.go
@@ -102,5 +102,5 @@
 
 func (s *Server) take(receiver *distribution.Receiver, m *wiregen.FollowReport) {
 	now := s.hub.now()
-	s.hub.Report(receiver.Take(now, decodeReport(now, m))...)
+	s.hub.Report(receiver.Receive(now, decodeReport(now, m))...)
 }
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -41,9 +41,9 @@
 	Made int
 	// Unreached is the number of those that made no connection, including the last one.
 	Unreached int
-	// Fruitless is the number of failed attempts since the last new piece that reached an endpoint and yielded no
+	// WithoutProgress is the number of failed attempts since the last new piece that reached an endpoint and yielded no
 	// piece.
-	Fruitless int
+	WithoutProgress int
 	// Repeatable reports whether the request may run more than once.
 	Repeatable bool
 	Deadline   time.Time
--- a/retry/resumes.go
+++ b/retry/resumes.go
@@ -67,12 +67,12 @@
 	if f == Unreached {
 		return decideUnreached(now, a)
 	}
-	delay := Backoff(max(a.Fruitless, 1), rng)
+	delay := Backoff(max(a.WithoutProgress, 1), rng)
 	wait := r.Wait(now)
 	switch {
 	case f == Final:
 		return 0, FinalFailure
-	case a.Fruitless >= maxAttempts || a.Made-a.Unreached >= maxResumes:
+	case a.WithoutProgress >= maxAttempts || a.Made-a.Unreached >= maxResumes:
 		return 0, TooMany
 	case !now.Add(wait + delay).Before(a.Deadline):
 		return 0, NoTime
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -94,7 +94,7 @@
 				}
 			default:
 				deadline := now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "left")) * time.Millisecond)
-				delay, reason := DecideResume(now, Attempts{Made: 1, Fruitless: 1, Deadline: deadline}, Doubtful, r, rng)
+				delay, reason := DecideResume(now, Attempts{Made: 1, WithoutProgress: 1, Deadline: deadline}, Doubtful, r, rng)
 				if (reason == Retry || reason == Paced) && !now.Add(delay).Before(deadline) {
 					t.Fatalf("%s after %v of %v", reason, delay, deadline.Sub(now))
 				}
--- a/routes/table.go
+++ b/routes/table.go
@@ -58,8 +58,8 @@
 	Resumable bool
 	// Affinity enables prefix cache affinity: requests name the parts of their prompt, which endpoints cache.
 	Affinity bool
-	// Homes are the regions in which requests may be served; empty allows every region.
-	Homes []string
+	// HomeRegions are the regions in which requests may be served; empty allows every region.
+	HomeRegions []string
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -67,7 +67,7 @@
 
 // Allows reports whether requests of the route may be served in a region.
 func (r *Route) Allows(region string) bool {
-	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
+	return len(r.HomeRegions) == 0 || slices.Contains(r.HomeRegions, region)
 }
 
 // Engine describes the model engines of a service.
@@ -179,20 +179,20 @@
 // Service returns a service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Homes returns the regions that every region-bound route of a host allows, or nil if the host has no such route.
-func (t *Table) Homes(host string) []string {
-	var homes []string
+// HomeRegions returns the regions that every region-bound route of a host allows, or nil if the host has no such route.
+func (t *Table) HomeRegions(host string) []string {
+	var homeRegions []string
 	bound := false
 	for _, r := range t.hosts[strings.ToLower(host)] {
 		switch {
-		case len(r.Homes) == 0:
+		case len(r.HomeRegions) == 0:
 		case !bound:
-			homes, bound = slices.Clone(r.Homes), true
+			homeRegions, bound = slices.Clone(r.HomeRegions), true
 		default:
-			homes = slices.DeleteFunc(homes, func(region string) bool { return !r.Allows(region) })
+			homeRegions = slices.DeleteFunc(homeRegions, func(region string) bool { return !r.Allows(region) })
 		}
 	}
-	return homes
+	return homeRegions
 }
 
 // Match returns the route of a host, with or without a port, and an escaped path; it returns nil if there is none.
--- a/routes/table_test.go
+++ b/routes/table_test.go
@@ -7,11 +7,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestHomes checks that Homes returns only the regions that all restricted routes of a host allow.
+// TestHomes checks that HomeRegions returns only the regions that all restricted routes of a host allow.
 func TestHomes(t *testing.T) {
-	route := func(host, prefix string, homes ...string) Route {
+	route := func(host, prefix string, homeRegions ...string) Route {
 		return Route{
-			Name: prefix, Host: host, PathPrefix: prefix, Kind: Safe, Timeout: time.Second, MaxAttempts: 1, Homes: homes,
+			Name: prefix, Host: host, PathPrefix: prefix, Kind: Safe, Timeout: time.Second, MaxAttempts: 1, HomeRegions: homeRegions,
 			Backends: []Backend{{Service: "desk", Weight: 1}},
 		}
 	}
@@ -26,7 +26,7 @@
 	for host, want := range map[string][]string{
 		"free": nil, "one": {"lahore", "karachi"}, "ONE": {"lahore", "karachi"}, "two": {"karachi"}, "apart": {}, "unknown": nil,
 	} {
-		if diff := cmp.Diff(want, table.Homes(host)); diff != "" {
+		if diff := cmp.Diff(want, table.HomeRegions(host)); diff != "" {
 			t.Errorf("%s: %s", host, diff)
 		}
 	}
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -38,8 +38,8 @@
 // Name returns the endpoint's name.
 func (c *Candidate) Name() string { return c.endpoint.Name }
 
-// Own returns the number of the chooser's own requests outstanding at the endpoint.
-func (c *Candidate) Own() int { return c.ownRequests }
+// OwnRequests returns the number of the chooser's own requests outstanding at the endpoint.
+func (c *Candidate) OwnRequests() int { return c.ownRequests }
 
 // available reports whether the endpoint may receive new requests.
 func (c *Candidate) available() bool { return !c.endpoint.Leaving && !c.tripped }
@@ -62,11 +62,11 @@
 	if outstanding > c.slots()-minFreeSlots && !c.belowFairShare(outstanding, t.instances) {
 		return false
 	}
-	if !c.slowStart.Room(tokens) {
+	if !c.slowStart.Allows(tokens) {
 		return false
 	}
 	others := (outstanding - float64(c.ownRequests)) * t.meanReservation
-	return c.pool.Room(reserve + int(others))
+	return c.pool.Fits(reserve + int(others))
 }
 
 // belowFairShare reports whether the instance has less than its share of a full endpoint. It may then wait in the
--- a/routing/chooser.go
+++ b/routing/chooser.go
@@ -246,20 +246,20 @@
 
 // Choose returns the best of a sample of the available candidates; ok is false if there is none. If the sample has no
 // candidate with capacity, all candidates with capacity are scored. If there are none either, the best scored candidate
-// is returned with Room false.
+// is returned with HasCapacity false.
 func (c *Chooser[P]) Choose(now time.Time, q *Query) (d Decision, ok bool) {
 	t := c.tables[tableKey{service: q.Service, model: q.Model}]
 	if t == nil {
 		return Decision{}, false
 	}
 	at := now.Sub(c.origin)
-	d.Open = len(t.candidates)
+	d.Available = len(t.candidates)
 	d.Informed = c.policy.Informed()
 	if d.Informed {
 		c.scoreCacheHolders(at, t, q, &d)
 	}
 	c.scoreSample(at, t, q, &d)
-	if !d.Room {
+	if !d.HasCapacity {
 		c.scoreRemaining(at, t, q, &d)
 	}
 	return d, d.Candidate != nil
@@ -297,9 +297,9 @@
 	if q.excludes(candidate.endpoint.Name) {
 		return
 	}
-	room := !q.mustYield(candidate) &&
+	hasCapacity := !q.mustYield(candidate) &&
 		(!d.Informed || candidate.hasCapacity(at, t, q.PromptTokens-int(cached), q.ReserveTokens))
-	d.consider(candidate, c.policy.Score(at, candidate, t.meanOthers, cached, q), room)
+	d.consider(candidate, c.policy.Score(at, candidate, t.meanOthers, cached, q), hasCapacity)
 }
 
 // scoreCacheHolders scores the candidates that probably hold the longest cached prefixes.
--- a/routing/chooser_test.go
+++ b/routing/chooser_test.go
@@ -150,7 +150,7 @@
 	sent := 0
 	for range 8 {
 		d, ok := c.Choose(origin, q)
-		if ok && d.Room {
+		if ok && d.HasCapacity {
 			c.Start(origin, d, q)
 			sent++
 		}
@@ -166,15 +166,15 @@
 	c := newChooser([]membership.Endpoint{engine(0, 8)})
 	q := query()
 	q.PromptTokens = 1
-	if d, _ := c.Choose(origin, q); d.Room {
+	if d, _ := c.Choose(origin, q); d.HasCapacity {
 		t.Error("a full endpoint has capacity for the only instance")
 	}
 	c.SetInstances(4)
 	c.Observe(origin, []membership.Endpoint{engine(0, 8)})
 	for sent := range 3 {
 		d, _ := c.Choose(origin, q)
-		if want := sent < 2; d.Room != want {
-			t.Fatalf("capacity %v for an instance that has %d of its share of 2", d.Room, sent)
+		if want := sent < 2; d.HasCapacity != want {
+			t.Fatalf("capacity %v for an instance that has %d of its share of 2", d.HasCapacity, sent)
 		}
 		c.Start(origin, d, q)
 	}
@@ -287,7 +287,7 @@
 	if got := c.Capacity(at(time.Second), q.Service, q.Model).Outstanding; got != 18 {
 		t.Errorf("%v requests are expected after 2 of 6 and a burst of 4 own ones", got)
 	}
-	if d, _ := c.Choose(at(time.Second), q); d.Room {
+	if d, _ := c.Choose(at(time.Second), q); d.HasCapacity {
 		t.Errorf("%q is expected to have capacity", d.Candidate.Name())
 	}
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -15,8 +15,8 @@
 	Decode float64
 	// Cached is the expected number of cached prompt tokens.
 	Cached float64
-	// Travel is the time for two round trips and the transfer between regions, in seconds.
-	Travel float64
+	// Transfer is the time for two round trips and the transfer between regions, in seconds.
+	Transfer float64
 	// Cost is the cost of the request relative to the same request in the cheapest region.
 	Cost float64
 	// Away is 1 for another region.
@@ -26,7 +26,7 @@
 }
 
 // FirstToken returns the expected time to the first token, in seconds.
-func (t Terms) FirstToken() float64 { return t.Wait + t.Prefill + t.Travel }
+func (t Terms) FirstToken() float64 { return t.Wait + t.Prefill + t.Transfer }
 
 // Finish returns the expected time to the last token, in seconds.
 func (t Terms) Finish() float64 { return t.FirstToken() + t.Decode }
--- a/routing/query.go
+++ b/routing/query.go
@@ -44,9 +44,9 @@
 	PrefillPerSecond float64
 	// Exclude names the endpoints that have failed the request.
 	Exclude []string
-	// Behind are the waiting requests that take precedence over this one: an endpoint that serves one of them has no
+	// Ahead are the waiting requests that take precedence over this one: an endpoint that serves one of them has no
 	// capacity for this one.
-	Behind    []*Query
+	Ahead     []*Query
 	Objective Objective
 	// Cost is the cost of the local region relative to the cheapest, at least 1.
 	Cost float64
@@ -58,7 +58,7 @@
 
 // mustYield reports whether the candidate serves a request that takes precedence over this one.
 func (q *Query) mustYield(c *Candidate) bool {
-	return slices.ContainsFunc(q.Behind, func(preceding *Query) bool {
+	return slices.ContainsFunc(q.Ahead, func(preceding *Query) bool {
 		return c.serves(preceding) && !preceding.excludes(c.endpoint.Name)
 	})
 }
@@ -69,32 +69,32 @@
 	Terms     Terms
 	// Informed reports whether the policy uses the reported load.
 	Informed bool
-	// Room reports whether the candidate has capacity to start the request at once.
-	Room bool
+	// HasCapacity reports whether the candidate has capacity to start the request at once.
+	HasCapacity bool
 	// RunnerUp is the second best candidate scored, or nil.
 	RunnerUp      *Candidate
 	RunnerUpTerms Terms
-	// Scored is the number of candidates scored, and Open the number of available ones.
-	Scored int
-	Open   int
+	// Scored is the number of candidates scored, and Available the number of available ones.
+	Scored    int
+	Available int
 }
 
 // consider updates the best candidate and the runner-up with a newly scored candidate.
-func (d *Decision) consider(c *Candidate, t Terms, room bool) {
+func (d *Decision) consider(c *Candidate, t Terms, hasCapacity bool) {
 	d.Scored++
 	switch {
-	case d.Candidate == nil || better(t, room, d.Terms, d.Room):
+	case d.Candidate == nil || better(t, hasCapacity, d.Terms, d.HasCapacity):
 		d.RunnerUp, d.RunnerUpTerms = d.Candidate, d.Terms
-		d.Candidate, d.Terms, d.Room = c, t, room
+		d.Candidate, d.Terms, d.HasCapacity = c, t, hasCapacity
 	case d.RunnerUp == nil || t.Score < d.RunnerUpTerms.Score:
 		d.RunnerUp, d.RunnerUpTerms = c, t
 	}
 }
 
 // better reports whether a candidate is better than another: capacity takes precedence over the score.
-func better(t Terms, room bool, other Terms, otherRoom bool) bool {
-	if room != otherRoom {
-		return room
+func better(t Terms, hasCapacity bool, other Terms, otherHasCapacity bool) bool {
+	if hasCapacity != otherHasCapacity {
+		return hasCapacity
 	}
 	return t.Score < other.Score
 }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -29,8 +29,8 @@
 	return float64(bytes) / bytesPerGigabyte * costPerGigabyte / requestCost
 }
 
-// AwayDecision is a choice of another region with the terms that led to it.
-type AwayDecision struct {
+// RegionDecision is a choice of another region with the terms that led to it.
+type RegionDecision struct {
 	Region string
 	Terms  Terms
 	// Scored is the number of regions that could take the request.
@@ -107,7 +107,7 @@
 // if there is none. If baseline is not nil, a region must score better than it.
 func (s *Regions) Choose(
 	now time.Time, q *Query, bytes int, routes []Route, baseline *Terms,
-) (best AwayDecision, ok bool) {
+) (best RegionDecision, ok bool) {
 	at := now.Sub(s.origin)
 	offset := 0
 	if len(routes) > 1 {
@@ -148,15 +148,15 @@
 // hasSpareSlots reports whether the region has capacity to spare for requests from other regions.
 func (r *remoteService) hasSpareSlots(at time.Duration, q *Query) bool {
 	slots := float64(r.summary.Slots) * (1 - reservedSlotShare)
-	return r.load.outstanding(at, r.ownRequests, r.load.others(r.ownRequests)) < slots && r.slowStart.Room(q.PromptTokens)
+	return r.load.outstanding(at, r.ownRequests, r.load.others(r.ownRequests)) < slots && r.slowStart.Allows(q.PromptTokens)
 }
 
 // score returns the terms of a request that is forwarded to the region.
 func (r *remoteService) score(at time.Duration, q *Query, bytes int, route Route) Terms {
 	t := Terms{Cost: route.Cost + route.Egress, Away: 1}
-	t.Travel = forwardRoundTrips * route.RoundTrip.Seconds()
+	t.Transfer = forwardRoundTrips * route.RoundTrip.Seconds()
 	if route.BytesPerSecond > 0 {
-		t.Travel += float64(bytes) / (float64(route.BytesPerSecond) * linkShare)
+		t.Transfer += float64(bytes) / (float64(route.BytesPerSecond) * linkShare)
 	}
 	if q.PrefillPerSecond > 0 {
 		t.Prefill = float64(q.PromptTokens) / q.PrefillPerSecond
@@ -170,24 +170,24 @@
 	return t
 }
 
-// AwayTicket tracks a request that was forwarded to another region.
-type AwayTicket struct {
+// RegionTicket tracks a request that was forwarded to another region.
+type RegionTicket struct {
 	remote *remoteService
 	tokens int
 }
 
 // Start records that a request was forwarded to the decision's region.
-func (s *Regions) Start(now time.Time, d AwayDecision, q *Query, bytes int) *AwayTicket {
+func (s *Regions) Start(now time.Time, d RegionDecision, q *Query, bytes int) *RegionTicket {
 	at := now.Sub(s.origin)
 	d.remote.ownRequests++
 	d.remote.load.add(at, 1, 0)
 	d.remote.slowStart.Begin(q.PromptTokens)
 	s.linkTo(at, d.route).take(at, bytes)
-	return &AwayTicket{remote: d.remote, tokens: q.PromptTokens}
+	return &RegionTicket{remote: d.remote, tokens: q.PromptTokens}
 }
 
 // Done ends the request; ok reports whether it was answered. Calls after the first have no effect.
-func (s *Regions) Done(now time.Time, t *AwayTicket, ok bool) {
+func (s *Regions) Done(now time.Time, t *RegionTicket, ok bool) {
 	if t.remote == nil {
 		return
 	}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -22,8 +22,8 @@
 // Active reports whether slow start is in progress.
 func (s *SlowStart) Active() bool { return s.active }
 
-// Room reports whether that many more tokens may be sent; one request is always admitted.
-func (s *SlowStart) Room(tokens int) bool {
+// Allows reports whether that many more tokens may be sent; one request is always admitted.
+func (s *SlowStart) Allows(tokens int) bool {
 	return !s.active || s.inFlight == 0 || s.inFlight+tokens <= s.window
 }
 
--- a/standin/generate.go
+++ b/standin/generate.go
@@ -218,7 +218,7 @@
 			return false
 		}
 	}
-	_, err := w.Write(j.answer.Whole(j.text(j.total), j.end()))
+	_, err := w.Write(j.answer.Complete(j.text(j.total), j.end()))
 	return err == nil
 }
 
--- a/stream/order_test.go
+++ b/stream/sequencer_test.go
@@ -13,7 +13,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 3).Draw(t, "first")
 		n := first + rapid.IntRange(0, 8).Draw(t, "pieces")
-		order := NewOrder("own", 1, first)
+		sequencer := NewSequencer("own", 1, first)
 		var accepted []int
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			p := Piece{
@@ -21,8 +21,8 @@
 				Attempt:   rapid.SampledFrom([]int{1, 1, 1, 0, 2}).Draw(t, "attempt"),
 				Position:  rapid.IntRange(0, n).Draw(t, "position"),
 			}
-			next := order.Next()
-			ok, err := order.Accept(p)
+			next := sequencer.Next()
+			ok, err := sequencer.Accept(p)
 			own := p.RequestID == "own" && p.Attempt == 1
 			var gap *GapError
 			if ok != (own && p.Position == next) || errors.As(err, &gap) != (own && p.Position > next) {
@@ -37,7 +37,7 @@
 				t.Fatalf("accepted positions %v from %d", accepted, first)
 			}
 		}
-		_, err := order.Close(End{Pieces: n})
+		_, err := sequencer.Close(End{Pieces: n})
 		if (err == nil) != (first+len(accepted) == n) {
 			t.Fatalf("end of %d pieces after %d accepted from %d: %v", n, len(accepted), first, err)
 		}
@@ -45,14 +45,14 @@
 }
 
 func TestOrderDropsWithoutChange(t *testing.T) {
-	order := NewOrder("own", 0, 0)
+	sequencer := NewSequencer("own", 0, 0)
 	pieces := []Piece{{RequestID: "own"}, {RequestID: "own"}, {RequestID: "other", Position: 1}, {RequestID: "own", Attempt: 1, Position: 1}}
 	var accepted []bool
 	for _, p := range pieces {
-		ok, _ := order.Accept(p)
+		ok, _ := sequencer.Accept(p)
 		accepted = append(accepted, ok)
 	}
-	if !slices.Equal(accepted, []bool{true, false, false, false}) || order.Next() != 1 {
-		t.Errorf("accepted %v, next %d", accepted, order.Next())
+	if !slices.Equal(accepted, []bool{true, false, false, false}) || sequencer.Next() != 1 {
+		t.Errorf("accepted %v, next %d", accepted, sequencer.Next())
 	}
 }
--- a/wire/fleet.go
+++ b/wire/fleet.go
@@ -15,7 +15,7 @@
 func EncodeFleetEndpoint(now time.Time, e fleet.Endpoint) *wiregen.EndpointRecord {
 	m := &wiregen.EndpointRecord{
 		Id: e.ID, Born: e.Born, Sequence: e.Sequence, Service: e.Service, Address: e.Address, FailureDomain: e.FailureDomain,
-		Slots: int32(e.Slots), State: int32(e.State), RemainingMillis: notTold, SilentMillis: now.Sub(e.Heard).Milliseconds(),
+		Slots: int32(e.Slots), State: int32(e.State), RemainingMillis: notTold, SilentMillis: now.Sub(e.LastSeen).Milliseconds(),
 	}
 	if e.Cold(now) {
 		m.ColdMillis = e.ColdUntil.Sub(now).Milliseconds()
@@ -31,7 +31,7 @@
 	e := fleet.Endpoint{
 		ID: m.GetId(), Born: m.GetBorn(), Sequence: m.GetSequence(), Service: m.GetService(), Address: m.GetAddress(),
 		FailureDomain: m.GetFailureDomain(), Slots: int(m.GetSlots()), State: fleet.State(m.GetState()),
-		Heard: now.Add(-time.Duration(m.GetSilentMillis()) * time.Millisecond),
+		LastSeen: now.Add(-time.Duration(m.GetSilentMillis()) * time.Millisecond),
 	}
 	if m.GetColdMillis() > 0 {
 		e.ColdUntil = now.Add(time.Duration(m.GetColdMillis()) * time.Millisecond)
@@ -54,6 +54,6 @@
 func DecodeGateway(at time.Time, m *wiregen.GatewayReport) fleet.Gateway {
 	return fleet.Gateway{
 		Name: m.GetName(), CallerAddress: m.GetCallerAddress(), LoadAddress: m.GetLoadAddress(), ForwardAddress: m.GetForwardAddress(),
-		FailureDomain: m.GetFailureDomain(), Region: m.GetRegion(), Ready: m.GetReady(), Lingering: m.GetLingering(), Born: m.GetBorn(), Heard: at,
+		FailureDomain: m.GetFailureDomain(), Region: m.GetRegion(), Ready: m.GetReady(), Lingering: m.GetLingering(), Born: m.GetBorn(), LastSeen: at,
 	}
 }
