--- a/relay/server.go
+++ b/relay/server.go
@@ -105,5 +105,5 @@
 
 func (s *Server) receiveReport(receiver *distribution.Receiver, m *wiregen.FollowReport) {
 	now := s.hub.now()
-	s.hub.Report(receiver.Take(now, decodeReport(now, m))...)
+	s.hub.Report(receiver.Receive(now, decodeReport(now, m))...)
 }
