--- a/load/cost_test.go
+++ b/load/cost_test.go
@@ -12,8 +12,8 @@
 	"arbutusreel/standin"
 )
 
-// TestMeter measures an engine that is killed and starts anew while it is measured: what it did before counts, and what
-// it had done before the beginning does not.
+// TestMeter measures an engine that is killed and restarts during the measurement: its work before the restart counts,
+// and its work before the baseline does not.
 func TestMeter(t *testing.T) {
 	uses := []standin.Use{
 		{Up: 100, Busy: 50, Held: 40, Preempted: 3, MostTokens: 70, PricePerHour: 7200},
@@ -28,10 +28,11 @@
 	defer server.Close()
 	m := newMeter([]string{server.Listener.Addr().String()}, server.Client())
 	for i := range uses {
-		m.ask(t.Context(), i == 0)
+		m.poll(t.Context(), i == 0)
 	}
 	m.sum.IdleShare, m.sum.ServedTokens = 0.25, 2000
-	want := EngineUse{Up: 5, Busy: 3, Held: 1.5, FleetPrice: 10, HeldPrice: 3, IdleShare: 0.25, ServedTokens: 2000, Preempted: 2, MostTokens: 80}
+	want := EngineUse{Up: 5, Busy: 3, Held: 1.5, FleetPrice: 10, HeldPrice: 3, IdleShare: 0.25, ServedTokens: 2000,
+		Preempted: 2, MostTokens: 80}
 	if diff := cmp.Diff(want, m.sum, cmpopts.EquateApprox(0, 1e-9)); diff != "" {
 		t.Error(diff)
 	}
@@ -40,7 +41,8 @@
 	}
 }
 
-// TestSummarize reads the reports of two seeds back: the cost of all is weighed by tokens, the share by requests.
+// TestSummarize combines the reports of two seeds: the total cost is weighted by tokens, and the served share by
+// requests.
 func TestSummarize(t *testing.T) {
 	var reports [][]byte
 	for seed, held := range []float64{1, 5} {
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,2 +1,3 @@
-// Package load sends requests to the gateway at a steady rate, checks each answer, and tabulates the results.
+// Package load generates requests to the gateway at a constant mean rate, verifies each answer, and tabulates the
+// results.
 package load
--- a/load/entries.go
+++ b/load/entries.go
@@ -11,13 +11,13 @@
 	"arbutusreel/wiregen"
 )
 
-// Limits of asking the entries which of them to use.
+// Limits of asking the entries for the current list of entries.
 const (
 	refreshPeriod  = 500 * time.Millisecond
 	refreshTimeout = time.Second
 )
 
-// entries is the list of entries that a caller uses in turn.
+// entries is the list of entries that a caller uses in round-robin order.
 type entries struct {
 	client *http.Client
 	token  string
@@ -31,16 +31,16 @@
 	return &entries{client: client, token: token, seeds: cfg.Entries, list: cfg.Entries}
 }
 
-// take returns the next entry.
-func (e *entries) take() string {
+// pick returns the address of the next entry.
+func (e *entries) pick() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.next++
 	return e.list[e.next%len(e.list)]
 }
 
-// leave removes an entry until the next refresh, unless it is the only one.
-func (e *entries) leave(address string) {
+// exclude removes an entry until the next refresh, unless it is the only one.
+func (e *entries) exclude(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var rest []string
@@ -54,8 +54,8 @@
 	}
 }
 
-// follow refreshes the list until ctx ends.
-func (e *entries) follow(ctx context.Context) {
+// refreshPeriodically refreshes the list until ctx ends.
+func (e *entries) refreshPeriodically(ctx context.Context) {
 	t := time.NewTicker(refreshPeriod)
 	defer t.Stop()
 	for {
@@ -68,13 +68,13 @@
 	}
 }
 
-// refresh asks the first entry that answers which ones to use.
+// refresh replaces the list by that of the first entry that returns one.
 func (e *entries) refresh(ctx context.Context) {
 	e.mu.Lock()
 	addresses := append(append([]string{}, e.list...), e.seeds...)
 	e.mu.Unlock()
 	for _, address := range addresses {
-		if list := e.ask(ctx, address); len(list) > 0 {
+		if list := e.fetch(ctx, address); len(list) > 0 {
 			e.mu.Lock()
 			e.list = list
 			e.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-func (e *entries) ask(ctx context.Context, address string) []string {
+func (e *entries) fetch(ctx context.Context, address string) []string {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entries", nil)
--- a/load/epoch.go
+++ b/load/epoch.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// epochPeriod is how long a token of the ledger is used for new keys.
-const epochPeriod = 2 * time.Second
+// epochTokenLifetime is how long a ledger epoch token is used for new keys before it is fetched again.
+const epochTokenLifetime = 2 * time.Second
 
-// epoch is a token of the ledger and when it was told.
-type epoch struct {
-	token string
-	at    time.Time
+// cachedEpoch is a ledger epoch token and the time at which it was fetched.
+type cachedEpoch struct {
+	token     string
+	fetchedAt time.Time
 }
 
-// token returns a token of the ledger for a new key, from one of the entries, or the last one if it gives none.
-func (g *generator) token(ctx context.Context) string {
+// epochToken returns a ledger epoch token for a new key. It fetches a token from one of the entries when the cached one
+// is older than epochTokenLifetime, and falls back to the cached one if the entry returns none.
+func (g *generator) epochToken(ctx context.Context) string {
 	g.mu.Lock()
 	last := g.epoch
 	g.mu.Unlock()
-	if last.token != "" && time.Since(last.at) < epochPeriod {
+	if last.token != "" && time.Since(last.fetchedAt) < epochTokenLifetime {
 		return last.token
 	}
-	token := g.askToken(ctx, "http://"+g.entries.take()+"/v1/entries")
+	token := g.fetchEpochToken(ctx, "http://"+g.entries.pick()+"/v1/entries")
 	if token == "" {
 		return last.token
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.epoch = epoch{token: token, at: time.Now()}
+	g.epoch = cachedEpoch{token: token, fetchedAt: time.Now()}
 	return token
 }
 
-func (g *generator) askToken(ctx context.Context, url string) string {
+func (g *generator) fetchEpochToken(ctx context.Context, url string) string {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return ""
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -17,29 +17,29 @@
 	Name   string
 	Rounds int
 	Config Config
-	// Engines are the addresses of the emulated engines whose use is measured.
+	// Engines are the addresses of the emulated engines whose utilization is measured.
 	Engines []string
-	// IdleShare is the share of the engines that is kept free, which is added to the cost of what is held.
+	// IdleShare is the fraction of the engines that is kept free, which is added to the cost of the engine time held.
 	IdleShare float64
 }
 
-// Target is a system under load: its name and its callers' addresses.
+// Target is a system under load: its name and the caller addresses of its entries.
 type Target struct {
 	Name    string
 	Entries []string
 }
 
-// TargetError says that a target is not of the form name=address,address.
+// TargetError reports a target that is not of the form name=address,address.
 type TargetError struct {
 	Text string
 }
 
-// Error names the text.
+// Error returns the message with the invalid text.
 func (e *TargetError) Error() string {
 	return fmt.Sprintf("target %q is not of the form name=address,address", e.Text)
 }
 
-// ParseTarget reads a target of the form name=address,address; any other returns *TargetError.
+// ParseTarget parses a target of the form name=address,address; any other text returns *TargetError.
 func ParseTarget(text string) (Target, error) {
 	name, addresses, ok := strings.Cut(text, "=")
 	if !ok || name == "" || addresses == "" {
@@ -48,7 +48,7 @@
 	return Target{Name: name, Entries: strings.Split(addresses, ",")}, nil
 }
 
-// DecodeExperiment reads an experiment file; a fault returns *wire.MalformedError or *wire.UnknownFieldError.
+// DecodeExperiment decodes an experiment file; an invalid one returns *wire.MalformedError or *wire.UnknownFieldError.
 func DecodeExperiment(b []byte) (Experiment, error) {
 	m := &wiregen.Experiment{}
 	if err := wire.DecodeJSON(b, m); err != nil {
@@ -84,14 +84,14 @@
 	}
 }
 
-// TargetResult is what one target did, mix by mix.
+// TargetResult is the result of one target, by mix.
 type TargetResult struct {
 	Target string
 	Mixes  []Result
 	Use    EngineUse
 }
 
-// Run loads the targets in turn, as often as there are rounds, and returns the sums of each.
+// Run loads the targets in turn for the given number of rounds and returns the sum of each target.
 func (e Experiment) Run(ctx context.Context, targets []Target, client *http.Client) []TargetResult {
 	results := make([]TargetResult, len(targets))
 	for round := range e.Rounds {
@@ -106,10 +106,10 @@
 	return results
 }
 
-// run loads one target and measures the engines from the beginning of the load to its last answer.
+// run loads one target and measures the engines from the start of the load to its last answer.
 func (e Experiment) run(ctx context.Context, target string, cfg Config, client *http.Client) TargetResult {
 	m := newMeter(e.Engines, client)
-	stop := m.begin(ctx)
+	stop := m.start(ctx)
 	r := TargetResult{Target: target, Mixes: Run(ctx, cfg, client)}
 	r.Use = stop()
 	r.Use.IdleShare = e.IdleShare
@@ -130,7 +130,8 @@
 	return sum
 }
 
-// WriteTables writes the results of each target, and then the difference of the first two; a failed write is returned.
+// WriteTables writes the results of each target, and then the difference of the first two; it returns the error of a
+// failed write.
 func WriteTables(w io.Writer, results []TargetResult) error {
 	for _, r := range results {
 		if _, err := fmt.Fprintf(w, "== %s\n", r.Target); err != nil {
--- a/load/load.go
+++ b/load/load.go
@@ -10,7 +10,7 @@
 	"arbutusreel/standin"
 )
 
-// Run sends the load and returns one result for each mix when each request has ended.
+// Run sends the requests of all mixes at once and returns one result for each mix when every request has ended.
 func Run(ctx context.Context, cfg Config, client *http.Client) []Result {
 	results := make([]Result, len(cfg.Mixes))
 	var wg sync.WaitGroup
@@ -33,14 +33,14 @@
 	}
 	if cfg.Discover {
 		g.entries.refresh(ctx)
-		go g.entries.follow(ctx)
+		go g.entries.refreshPeriodically(ctx)
 	}
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for _, a := range mix.arrivals(cfg.Seed, stream) {
-		due := began.Add(a.after)
+		due := start.Add(a.offset)
 		time.Sleep(time.Until(due))
-		wg.Go(func() { g.one(ctx, a, due) })
+		wg.Go(func() { g.runRequest(ctx, a, due) })
 	}
 	wg.Wait()
 	return g.result
@@ -54,32 +54,33 @@
 	entries *entries
 	mu      sync.Mutex
 	result  Result
-	epoch   epoch
+	epoch   cachedEpoch
 }
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
-	text    string
-	failure string
-	left    bool
-	leftAt  time.Time
-	id      string
-	moved   int
-	tokens  int
-	first   time.Duration
-	gaps    []time.Duration
-	finish  time.Duration
+	text          string
+	failure       string
+	abandoned     bool
+	abandonedAt   time.Time
+	correlationID string
+	retries       int
+	tokens        int
+	firstToken    time.Duration
+	tokenGaps     []time.Duration
+	finish        time.Duration
 }
 
-// one sends a request that was due at a time, and records its outcome.
-func (g *generator) one(ctx context.Context, a arrival, due time.Time) {
+// runRequest sends a request that was due at a time, and records its outcome; its latency includes any delay in
+// sending.
+func (g *generator) runRequest(ctx context.Context, a arrival, due time.Time) {
 	var o outcome
 	var want string
 	if g.mix.Service != "" {
-		o = g.call(ctx, a)
+		o = g.sendCall(ctx, a)
 		want = o.text
 	} else {
-		o = g.complete(ctx, a, due)
+		o = g.sendCompletion(ctx, a, due)
 		want = standin.Answer(g.mix.Model, g.promptText(a.prompt), g.mix.MaxTokens)
 	}
 	o.finish = time.Since(due)
@@ -88,7 +89,7 @@
 	g.result.record(g.mix, o, want)
 }
 
-// promptText returns the prompt as the engine reads it.
+// promptText returns the prompt as the engine decodes it.
 func (g *generator) promptText(prompt string) string {
 	r, err := completion.Decode(completion.Chat, g.body(prompt))
 	if err != nil {
--- a/load/meter.go
+++ b/load/meter.go
@@ -13,10 +13,10 @@
 	"arbutusreel/standin"
 )
 
-// Limits of asking the engines for their use.
+// Limits of polling the engines for their utilization.
 const (
-	meterPeriod  = 100 * time.Millisecond
-	meterTimeout = time.Second
+	pollPeriod  = 100 * time.Millisecond
+	pollTimeout = time.Second
 )
 
 // Units of prices.
@@ -25,27 +25,27 @@
 	tokensPerThousand = 1000
 )
 
-// EngineUse is what the engines of a target did and cost from the beginning of the load to its last answer; times are
-// sums over engines in seconds.
+// EngineUse is the utilization and cost of the engines of a target from the start of the load to its last answer; times
+// are in seconds and summed over the engines.
 type EngineUse struct {
-	// Up is the time for which engines ran, Busy that in which any request ran, and Held that weighed by the share of the
-	// engine that requests held.
+	// Up is the time during which engines were up, Busy the time during which at least one request ran, and Held the time
+	// weighted by the fraction of the engine that requests held.
 	Up, Busy, Held float64
 	// FleetPrice is the price of Up, and HeldPrice that of Held.
 	FleetPrice, HeldPrice float64
-	// IdleShare is the share of the engines that is kept free.
+	// IdleShare is the fraction of the engines that is kept free as headroom.
 	IdleShare float64
-	// ServedTokens are the tokens of the requests served whole within the patience.
+	// ServedTokens is the number of tokens of the complete answers that finished within the patience.
 	ServedTokens int
 	Preempted    int64
 	MostTokens   int64
 }
 
-// CostPerThousand returns the price of the engines' time that is held, and of the idle share that is added to it, for
-// a thousand served tokens.
+// CostPerThousand returns the price per thousand served tokens of the engine time held, including the idle share kept
+// free for it.
 func (u EngineUse) CostPerThousand() float64 { return u.perThousand(u.HeldPrice / (1 - u.IdleShare)) }
 
-// FleetPerThousand returns the price of the whole fleet's time for a thousand served tokens.
+// FleetPerThousand returns the price of the whole fleet's time per thousand served tokens.
 func (u EngineUse) FleetPerThousand() float64 { return u.perThousand(u.FleetPrice) }
 
 func (u EngineUse) perThousand(price float64) float64 {
@@ -55,7 +55,7 @@
 	return price * tokensPerThousand / float64(u.ServedTokens)
 }
 
-// add returns the sum of two uses.
+// add returns the sum of two utilizations; MostTokens is the larger one.
 func (u EngineUse) add(other EngineUse) EngineUse {
 	u.Up += other.Up
 	u.Busy += other.Busy
@@ -68,7 +68,7 @@
 	return u
 }
 
-// writeTable writes the use, if any engine was asked.
+// writeTable writes the utilization, if any engine was measured.
 func (u EngineUse) writeTable(w io.Writer) error {
 	if u.Up == 0 {
 		return nil
@@ -78,7 +78,8 @@
 	return err
 }
 
-// meter asks engines for their use again and again, so that what a killed engine did is not lost.
+// meter polls engines for their utilization throughout the load, so that the work of an engine that is killed is still
+// counted.
 type meter struct {
 	client  *http.Client
 	engines []string
@@ -91,41 +92,41 @@
 	return &meter{client: client, engines: engines, last: map[string]standin.Use{}}
 }
 
-// begin starts to measure; stop ends it and returns the use in between.
-func (m *meter) begin(ctx context.Context) (stop func() EngineUse) {
-	m.ask(ctx, true)
+// start begins to measure; the returned function ends the measurement and returns the utilization in between.
+func (m *meter) start(ctx context.Context) (stop func() EngineUse) {
+	m.poll(ctx, true)
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for len(m.engines) > 0 && clock.Sleep(ctx, meterPeriod) {
-			m.ask(ctx, false)
+		for len(m.engines) > 0 && clock.Sleep(ctx, pollPeriod) {
+			m.poll(ctx, false)
 		}
 	}()
 	return func() EngineUse {
 		cancel()
 		<-done
-		m.ask(context.WithoutCancel(ctx), false)
+		m.poll(context.WithoutCancel(ctx), false)
 		return m.sum
 	}
 }
 
-// ask asks each engine once; the first time only sets what is counted from.
-func (m *meter) ask(ctx context.Context, first bool) {
-	ctx, cancel := context.WithTimeout(ctx, meterTimeout)
+// poll queries each engine once; the baseline poll only sets the values from which later ones are counted.
+func (m *meter) poll(ctx context.Context, baseline bool) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, address := range m.engines {
 		wg.Go(func() {
-			if use, ok := m.read(ctx, address); ok {
-				m.note(address, use, first)
+			if use, ok := m.fetchUse(ctx, address); ok {
+				m.record(address, use, baseline)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (m *meter) read(ctx context.Context, address string) (use standin.Use, ok bool) {
+func (m *meter) fetchUse(ctx context.Context, address string) (use standin.Use, ok bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/use", nil)
 	if err != nil {
 		return use, false
@@ -138,13 +139,14 @@
 	return use, json.NewDecoder(resp.Body).Decode(&use) == nil
 }
 
-// note adds what an engine did since the last answer; one that is up for less than before has started anew.
-func (m *meter) note(address string, use standin.Use, first bool) {
+// record adds what an engine did since its last reply; an uptime below the last one means that the engine has
+// restarted.
+func (m *meter) record(address string, use standin.Use, baseline bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := m.last[address]
 	m.last[address] = use
-	if first {
+	if baseline {
 		return
 	}
 	if use.Up < last.Up {
--- a/load/mix.go
+++ b/load/mix.go
@@ -9,17 +9,17 @@
 
 // Config describes a load.
 type Config struct {
-	// Entries are the callers' addresses to use at first.
+	// Entries are the caller addresses of the entries used at the start.
 	Entries []string
-	// Discover says that callers ask the entries which of them to use.
+	// Discover makes callers ask the entries for the current list of entries.
 	Discover bool
 	Seed     uint64
-	// KeyPrefix stands before the idempotency keys of calls.
+	// KeyPrefix is the prefix of the idempotency keys of calls.
 	KeyPrefix string
 	Mixes     []Mix
 }
 
-// Mix is the requests of one team, class and model or plain service.
+// Mix describes the requests of one team and class to one model or plain service.
 type Mix struct {
 	Name  string
 	Token string
@@ -28,42 +28,44 @@
 	// Service is a plain service; if it is not empty, calls are sent instead of completions.
 	Service string
 	Stream  bool
-	// PerSecond is the rate of arrivals, which do not wait for answers.
+	// PerSecond is the mean arrival rate of the open-loop load: arrivals do not wait for answers.
 	PerSecond float64
 	Count     int
 	MaxTokens int
-	// AbandonShare is the share of streams that the caller leaves before their end.
+	// AbandonShare is the fraction of streams that the caller abandons before their end.
 	AbandonShare float64
-	// Prefixes is the number of different beginnings of prompts, and PrefixBytes their length.
+	// Prefixes is the number of distinct prompt prefixes, and PrefixBytes their length; zero Prefixes makes each prompt
+	// unique.
 	Prefixes    int
 	PrefixBytes int
-	// Patience is the time within which an answer counts as served; zero counts each.
+	// Patience is the time within which a complete answer counts as served; zero counts every complete answer.
 	Patience time.Duration
-	// Weight is the weight of a request in the share served; zero counts as one.
+	// Weight is the weight of a request in the served share; zero stands for one.
 	Weight float64
 }
 
-// maxTokensRead is the most tokens that a caller reads of a stream that it leaves.
-const maxTokensRead = 20
+// maxAbandonTokens is the largest number of tokens that a caller reads of a stream that it abandons.
+const maxAbandonTokens = 20
 
-// arrival is one request with the time of its sending.
+// arrival is one request with the time of its sending from the start of the load.
 type arrival struct {
 	index  int
-	after  time.Duration
+	offset time.Duration
 	prompt string
-	// leaveAfter is the number of tokens after which the caller leaves, or zero.
-	leaveAfter int
+	// abandonAfter is the number of tokens after which the caller abandons the stream, or zero.
+	abandonAfter int
 }
 
-// arrivals returns the requests of a mix, which depend on the seed alone.
+// arrivals returns the requests of a mix with exponentially distributed gaps; they depend only on the mix, the seed and
+// the stream.
 func (m Mix) arrivals(seed, stream uint64) []arrival {
 	rng := rand.New(rand.NewPCG(seed, stream))
 	list := make([]arrival, 0, m.Count)
 	var at time.Duration
 	for i := range m.Count {
-		a := arrival{index: i, after: at, prompt: m.prompt(rng, i, seed)}
+		a := arrival{index: i, offset: at, prompt: m.prompt(rng, i, seed)}
 		if rng.Float64() < m.AbandonShare {
-			a.leaveAfter = 1 + rng.IntN(maxTokensRead)
+			a.abandonAfter = 1 + rng.IntN(maxAbandonTokens)
 		}
 		list = append(list, a)
 		at += time.Duration(rng.ExpFloat64() / m.PerSecond * float64(time.Second))
--- a/load/result.go
+++ b/load/result.go
@@ -8,43 +8,44 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histogram bounds: microseconds up to ten minutes, three digits.
+// Histogram bounds: up to ten minutes in microseconds, with three significant digits.
 const (
 	maxMicros       = 600_000_000
 	histogramDigits = 3
 )
 
-// maxSlowest is the number of slowest requests that are named, to find them in the entries' logs.
+// maxSlowest is the number of slowest requests that are listed, so that they can be found in the logs of the entries.
 const maxSlowest = 8
 
-// Result is what the load of one mix measured; times are in microseconds.
+// Result is the measurement of the load of one mix; histogram values are in microseconds.
 type Result struct {
 	Mix       string
 	Sent      int
 	Whole     int
 	Wrong     int
 	Abandoned int
-	// Moved is the number of times that a request was sent to another entry since the first one had not run it.
+	// Moved is the number of retries at another entry after one that did not run the request.
 	Moved       int
 	Failed      map[string]int
 	AskedTokens int
 	UsedTokens  int
-	// ServedTokens are the tokens of the requests served whole within the patience.
+	// ServedTokens is the number of tokens of the complete answers that finished within the patience.
 	ServedTokens int
-	// Served and Weight are the weights of the requests served within the patience and of all requests.
+	// Served is the total weight of the requests served within the patience, and Weight that of all requests not
+	// abandoned.
 	Served float64
 	Weight float64
 	// FirstToken and Finish are measured from the time at which a request was due.
 	FirstToken    *hdrhistogram.Histogram
 	BetweenTokens *hdrhistogram.Histogram
 	Finish        *hdrhistogram.Histogram
-	// Slowest are the requests with the latest first tokens, the slowest first.
+	// Slowest are the requests with the longest times to the first token, the slowest first.
 	Slowest []Slow
-	// Left is the time at which the caller left each abandoned stream, by correlation id, in microseconds since 1970.
+	// Left is the time at which the caller abandoned each stream, in Unix microseconds, by correlation id.
 	Left map[string]int64
 }
 
-// NewResult returns the result of a mix that has sent nothing.
+// NewResult returns an empty result of a mix.
 func NewResult(mix string) Result {
 	return Result{
 		Mix:           mix,
@@ -58,20 +59,20 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, histogramDigits) }
 
-// record adds the outcome of one request whose right answer is want.
+// record adds the outcome of one request whose correct answer is want.
 func (r *Result) record(m Mix, o outcome, want string) {
 	weight := m.Weight
 	if weight == 0 {
 		weight = 1
 	}
 	r.Sent++
-	r.Moved += o.moved
+	r.Moved += o.retries
 	r.AskedTokens += m.MaxTokens
 	r.UsedTokens += o.tokens
 	switch {
-	case o.left:
+	case o.abandoned:
 		r.Abandoned++
-		r.Left[o.id] = o.leftAt.UnixMicro()
+		r.Left[o.correlationID] = o.abandonedAt.UnixMicro()
 		return
 	case o.failure != "":
 		r.Failed[o.failure]++
@@ -88,33 +89,33 @@
 		r.Served += weight
 		r.ServedTokens += o.tokens
 	}
-	note(r.Finish, o.finish)
-	if o.first > 0 {
-		note(r.FirstToken, o.first)
-		r.Slowest = slowest(append(r.Slowest, Slow{ID: o.id, First: o.first}))
+	recordDuration(r.Finish, o.finish)
+	if o.firstToken > 0 {
+		recordDuration(r.FirstToken, o.firstToken)
+		r.Slowest = slowest(append(r.Slowest, Slow{ID: o.correlationID, First: o.firstToken}))
 	}
-	for _, gap := range o.gaps {
-		note(r.BetweenTokens, gap)
+	for _, gap := range o.tokenGaps {
+		recordDuration(r.BetweenTokens, gap)
 	}
 }
 
-// Slow is a request by its correlation id with the time to its first token.
+// Slow is a request, identified by its correlation id, with its time to the first token.
 type Slow struct {
 	ID    string
 	First time.Duration
 }
 
-// slowest returns the slowest of the requests, maxSlowest at most.
+// slowest returns the slowest requests, at most maxSlowest.
 func slowest(list []Slow) []Slow {
 	slices.SortFunc(list, func(a, b Slow) int { return cmp.Compare(b.First, a.First) })
 	return list[:min(len(list), maxSlowest)]
 }
 
-func note(h *hdrhistogram.Histogram, d time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
-// Merge returns the sum of two results under the name of the first.
+// Merge returns the sum of two results under the mix name of the first.
 func (r Result) Merge(other Result) Result {
 	sum := NewResult(r.Mix)
 	for _, part := range []Result{r, other} {
@@ -142,7 +143,8 @@
 	return sum
 }
 
-// ServedShare returns the weighted share of the requests not abandoned that were served whole within the patience.
+// ServedShare returns the weighted fraction of the requests not abandoned that got a complete answer within the
+// patience.
 func (r Result) ServedShare() float64 {
 	if r.Weight == 0 {
 		return 0
--- a/load/send.go
+++ b/load/send.go
@@ -17,13 +17,13 @@
 	"arbutusreel/problem"
 )
 
-// Limits of sending a request that was not run to another entry.
+// Limits of retrying a request at another entry.
 const (
-	maxTries  = 20
-	tryPeriod = 50 * time.Millisecond
+	maxRetries = 20
+	retryDelay = 50 * time.Millisecond
 )
 
-// Failures that are not codes of a problem.
+// Failures other than problem codes.
 const (
 	failureTransport   = "transport"
 	failureCut         = "cut"
@@ -31,13 +31,13 @@
 	failureStreamError = "streamError"
 )
 
-// chatMessage is a chat message on the wire.
+// chatMessage is a message of a chat completion request or response.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// chatRequest is a chat request on the wire.
+// chatRequest is a chat completion request.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -58,30 +58,32 @@
 	return b
 }
 
-// send sends a request to one entry after another while it is certain that none has run it, or that its key lets it run once.
+// send sends a request, and retries it at another entry while it is certain that it has not run, or while its
+// idempotency key makes it run at most once.
 func (g *generator) send(ctx context.Context, path, key string, body []byte, o *outcome) *http.Response {
 	token := ""
 	if key != "" {
-		token = g.token(ctx)
+		token = g.epochToken(ctx)
 	}
 	for {
-		address := g.entries.take()
-		resp, again, failure := g.try(ctx, "http://"+address+path, key, token, body)
+		address := g.entries.pick()
+		resp, retryable, failure := g.sendOnce(ctx, "http://"+address+path, key, token, body)
 		if failure == "" {
 			return resp
 		}
-		if !again || o.moved == maxTries {
+		if !retryable || o.retries == maxRetries {
 			o.failure = failure
 			return nil
 		}
-		o.moved++
-		g.entries.leave(address)
-		time.Sleep(tryPeriod)
+		o.retries++
+		g.entries.exclude(address)
+		time.Sleep(retryDelay)
 	}
 }
 
-// try sends a request once; again says that another entry may be tried.
-func (g *generator) try(ctx context.Context, url, key, token string, body []byte) (resp *http.Response, again bool, failure string) {
+// sendOnce sends a request to one entry; retryable reports whether another entry can be tried.
+func (g *generator) sendOnce(ctx context.Context, url, key, token string, body []byte,
+) (resp *http.Response, retryable bool, failure string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, false, failureTransport
@@ -97,7 +99,7 @@
 	}
 	resp, err = g.client.Do(req)
 	if err != nil {
-		return nil, notConnected(err), failureTransport
+		return nil, isDialError(err), failureTransport
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, false, ""
@@ -105,24 +107,25 @@
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if p, ok := problem.Decode(b); ok && err == nil {
-		return nil, ofInstance(p.Code) && (p.Outcome == problem.NotRun || key != ""), string(p.Code)
+		return nil, isInstanceRefusal(p.Code) && (p.Outcome == problem.NotRun || key != ""), string(p.Code)
 	}
 	return nil, false, fmt.Sprintf("status%d", resp.StatusCode)
 }
 
-// ofInstance reports whether a refusal lies with the instance, so that another one may take the request.
-func ofInstance(code problem.Code) bool {
+// isInstanceRefusal reports whether a request was refused because of the state of the instance, so that another
+// instance may accept it.
+func isInstanceRefusal(code problem.Code) bool {
 	return code == problem.Stopping || code == problem.InstanceFull
 }
 
-// notConnected reports whether a request failed before a connection was made.
-func notConnected(err error) bool {
-	var failed *net.OpError
-	return errors.As(err, &failed) && failed.Op == "dial"
+// isDialError reports whether a request failed before a connection was made.
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// call sends one call of a plain service.
-func (g *generator) call(ctx context.Context, a arrival) outcome {
+// sendCall sends one call of a plain service.
+func (g *generator) sendCall(ctx context.Context, a arrival) outcome {
 	var o outcome
 	key := fmt.Sprintf("%s-%s-%d-%d", g.cfg.KeyPrefix, g.mix.Name, g.cfg.Seed, a.index)
 	resp := g.send(ctx, "/v1/services/"+g.mix.Service+"/orders", key, []byte(a.prompt), &o)
@@ -138,27 +141,27 @@
 	return o
 }
 
-// complete sends one completion that was due at a time.
-func (g *generator) complete(ctx context.Context, a arrival, due time.Time) outcome {
+// sendCompletion sends one completion that was due at a time.
+func (g *generator) sendCompletion(ctx context.Context, a arrival, due time.Time) outcome {
 	var o outcome
-	ctx, leave := context.WithCancel(ctx)
-	defer leave()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	resp := g.send(ctx, "/v1/chat/completions", "", g.body(a.prompt), &o)
 	if resp == nil {
 		return o
 	}
 	defer resp.Body.Close()
-	o.id = resp.Header.Get("X-Correlation-Id")
+	o.correlationID = resp.Header.Get("X-Correlation-Id")
 	if g.mix.Stream {
-		o.readStream(resp.Body, due, a.leaveAfter)
+		o.readStream(resp.Body, due, a.abandonAfter)
 		return o
 	}
-	o.readWhole(resp.Body)
+	o.readResponse(resp.Body)
 	return o
 }
 
-// readWhole reads an answer that is not streamed.
-func (o *outcome) readWhole(body io.Reader) {
+// readResponse reads a non-streaming response.
+func (o *outcome) readResponse(body io.Reader) {
 	b, err := io.ReadAll(body)
 	if err != nil {
 		o.failure = failureCut
@@ -180,8 +183,9 @@
 	o.tokens = m.Usage.Tokens
 }
 
-// readStream reads server-sent events to their end mark, or leaves after a number of tokens.
-func (o *outcome) readStream(body io.Reader, due time.Time, leaveAfter int) {
+// readStream reads server-sent events until the end marker, or abandons the stream after abandonAfter tokens if that is
+// positive.
+func (o *outcome) readStream(body io.Reader, due time.Time, abandonAfter int) {
 	var text strings.Builder
 	last := due
 	o.failure = failureCut
@@ -207,24 +211,24 @@
 			return
 		}
 		if event.HasPosition {
-			o.token(&last)
+			o.recordToken(&last)
 			text.WriteString(event.Text)
 		}
-		if leaveAfter > 0 && o.tokens == leaveAfter {
-			o.left = true
-			o.leftAt = time.Now()
+		if abandonAfter > 0 && o.tokens == abandonAfter {
+			o.abandoned = true
+			o.abandonedAt = time.Now()
 			return
 		}
 	}
 }
 
-// token notes the time of one token.
-func (o *outcome) token(last *time.Time) {
+// recordToken records the arrival time of one token.
+func (o *outcome) recordToken(last *time.Time) {
 	now := time.Now()
 	if o.tokens == 0 {
-		o.first = now.Sub(*last)
+		o.firstToken = now.Sub(*last)
 	} else {
-		o.gaps = append(o.gaps, now.Sub(*last))
+		o.tokenGaps = append(o.tokenGaps, now.Sub(*last))
 	}
 	o.tokens++
 	*last = now
--- a/load/summary.go
+++ b/load/summary.go
@@ -10,27 +10,27 @@
 	"arbutusreel/wiregen"
 )
 
-// SummaryRow is one target of one seed; a seed of zero stands for all of the target's seeds together.
+// SummaryRow is the result of one target with one seed; seed zero stands for all seeds of the target together.
 type SummaryRow struct {
 	Target string
 	Seed   int64
-	// ServedShare is the weighted share of all requests served whole within the patience.
+	// ServedShare is the weighted fraction of the requests not abandoned that got a complete answer within the patience.
 	ServedShare float64
-	// FirstToken is that of the first mix; over all seeds it is the median of each quantile.
+	// FirstToken is the time to the first token of the first mix; over all seeds it is the median of each quantile.
 	FirstToken       Quantiles
 	CostPerThousand  float64
 	FleetPerThousand float64
 	Preempted        int64
 }
 
-// Summary compares targets over several reports of a load.
+// Summary compares targets over several reports of one load.
 type Summary struct {
 	Name string
 	Rows []SummaryRow
 }
 
-// sums are what the rows of a target add up to.
-type sums struct {
+// targetSums accumulates the rows of one target.
+type targetSums struct {
 	rows          []SummaryRow
 	served, all   float64
 	cost, fleet   float64
@@ -41,11 +41,12 @@
 	firstTokenMax []float64
 }
 
-// Summarize reads reports of a load; a fault returns *wire.MalformedError or *wire.UnknownFieldError.
+// Summarize decodes and combines the reports of a load; an invalid report returns *wire.MalformedError or
+// *wire.UnknownFieldError.
 func Summarize(reports [][]byte) (Summary, error) {
 	var s Summary
 	var order []string
-	byTarget := map[string]*sums{}
+	byTarget := map[string]*targetSums{}
 	for _, b := range reports {
 		m := &wiregen.LoadReportFile{}
 		if err := wire.DecodeJSON(b, m); err != nil {
@@ -54,7 +55,7 @@
 		s.Name = m.GetName()
 		for _, target := range m.GetTargets() {
 			if byTarget[target.GetTarget()] == nil {
-				byTarget[target.GetTarget()] = &sums{}
+				byTarget[target.GetTarget()] = &targetSums{}
 				order = append(order, target.GetTarget())
 			}
 			byTarget[target.GetTarget()].add(m.GetSeed(), target)
@@ -67,8 +68,8 @@
 	return s, nil
 }
 
-// add takes one target's report.
-func (s *sums) add(seed int64, m *wiregen.LoadTarget) {
+// add adds the report of one target.
+func (s *targetSums) add(seed int64, m *wiregen.LoadTarget) {
 	use := m.GetEngineUse()
 	row := SummaryRow{
 		Target:           m.GetTarget(),
@@ -82,7 +83,7 @@
 		served += mix.GetServedWeight()
 		all += mix.GetAllWeight()
 	}
-	row.ServedShare = share(served, all)
+	row.ServedShare = ratio(served, all)
 	if mixes := m.GetMixes(); len(mixes) > 0 {
 		q := mixes[0].GetFirstToken()
 		row.FirstToken = Quantiles{P50: q.GetP50(), P95: q.GetP95(), P99: q.GetP99(), Max: q.GetMax()}
@@ -100,14 +101,19 @@
 	s.firstTokenMax = append(s.firstTokenMax, row.FirstToken.Max)
 }
 
-// total returns the row of all seeds.
-func (s *sums) total(target string) SummaryRow {
+// total returns the row over all seeds; costs are weighted by served tokens, and the served share by requests.
+func (s *targetSums) total(target string) SummaryRow {
 	row := SummaryRow{
-		Target:           target,
-		ServedShare:      share(s.served, s.all),
-		FirstToken:       Quantiles{P50: median(s.firstTokenP50), P95: median(s.firstTokenP95), P99: median(s.firstTokenP99), Max: median(s.firstTokenMax)},
-		CostPerThousand:  share(s.cost, s.tokens),
-		FleetPerThousand: share(s.fleet, s.tokens),
+		Target:      target,
+		ServedShare: ratio(s.served, s.all),
+		FirstToken: Quantiles{
+			P50: median(s.firstTokenP50),
+			P95: median(s.firstTokenP95),
+			P99: median(s.firstTokenP99),
+			Max: median(s.firstTokenMax),
+		},
+		CostPerThousand:  ratio(s.cost, s.tokens),
+		FleetPerThousand: ratio(s.fleet, s.tokens),
 	}
 	for _, r := range s.rows {
 		row.Preempted += r.Preempted
@@ -115,14 +121,14 @@
 	return row
 }
 
-func share(part, whole float64) float64 {
+func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return part / whole
 }
 
-// median returns the middle of the values, or the upper one of the two in the middle.
+// median returns the middle value, or the upper one of the two middle values.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
@@ -146,17 +152,19 @@
 	return wire.EncodeJSON(m)
 }
 
-// WriteTable writes the summary; a failed write is returned.
+// WriteTable writes the summary as a table; it returns the error of a failed write.
 func (s Summary) WriteTable(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%-18s %5s %8s %9s %9s %9s %10s %10s %9s\n", s.Name, "seed", "served", "first p50", "p95", "p99 (ms)", "cost/1000", "fleet/1000", "put back")
+	fmt.Fprintf(&b, "%-18s %5s %8s %9s %9s %9s %10s %10s %9s\n", s.Name, "seed", "served", "first p50", "p95", "p99 (ms)",
+		"cost/1000", "fleet/1000", "put back")
 	for _, r := range s.Rows {
 		seed := fmt.Sprint(r.Seed)
 		if r.Seed == 0 {
 			seed = "all"
 		}
 		fmt.Fprintf(&b, "%-18s %5s %8.4f %9.0f %9.0f %9.0f %10.5f %10.5f %9d\n",
-			r.Target, seed, r.ServedShare, r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.CostPerThousand, r.FleetPerThousand, r.Preempted)
+			r.Target, seed, r.ServedShare, r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.CostPerThousand,
+			r.FleetPerThousand, r.Preempted)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/load/table.go
+++ b/load/table.go
@@ -12,11 +12,12 @@
 // microsPerMilli converts the histograms' unit to milliseconds.
 const microsPerMilli = 1000.0
 
-// WriteTable writes the result as a table; a failed write is returned.
+// WriteTable writes the result as a table; it returns the error of a failed write.
 func (r Result) WriteTable(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: sent %d, whole %d, wrong %d, abandoned %d, moved %d, failed %s, served %.4f, tokens asked %d and used %d\n",
-		r.Mix, r.Sent, r.Whole, r.Wrong, r.Abandoned, r.Moved, failures(r.Failed), r.ServedShare(), r.AskedTokens, r.UsedTokens)
+		r.Mix, r.Sent, r.Whole, r.Wrong, r.Abandoned, r.Moved, formatFailures(r.Failed), r.ServedShare(), r.AskedTokens,
+		r.UsedTokens)
 	fmt.Fprintf(&b, "%-14s %10s %10s %10s %10s\n", "milliseconds", "p50", "p95", "p99", "max")
 	writeRow(&b, "first token", r.FirstToken)
 	writeRow(&b, "between tokens", r.BetweenTokens)
@@ -39,7 +40,7 @@
 	fmt.Fprintf(b, "%-14s %10.2f %10.2f %10.2f %10.2f\n", name, q.P50, q.P95, q.P99, q.Max)
 }
 
-// Quantiles are times in milliseconds.
+// Quantiles are quantiles of a time in milliseconds.
 type Quantiles struct {
 	P50, P95, P99, Max float64
 }
@@ -53,7 +54,7 @@
 	}
 }
 
-func failures(m map[string]int) string {
+func formatFailures(m map[string]int) string {
 	if len(m) == 0 {
 		return "0"
 	}
--- a/standin/announcer.go
+++ b/standin/announcer.go
@@ -18,21 +18,22 @@
 	"arbutusreel/wiregen"
 )
 
-// Announcing limits.
+// Parameters of announcing.
 const (
 	announceTimeout = 500 * time.Millisecond
-	// announceFallback is the time to the next announcement if no entry took the last.
-	announceFallback = 100 * time.Millisecond
-	// announceEntries is how many entries are tried: one, and a fall-back if it does not answer.
-	announceEntries   = 2
+	// announceRetryPeriod is the time to the next announcement if no entry accepted the last one.
+	announceRetryPeriod = 100 * time.Millisecond
+	// candidateEntries is the number of entries tried: the preferred one, and a fallback if it does not answer.
+	candidateEntries  = 2
 	announcesPerLease = 2
 	leavingPeriod     = 100 * time.Millisecond
-	// loadPeriods is in how many renewals at the least a load is told, and loadThreshold by which share it changes to be told at once.
-	loadPeriods   = 4
-	loadThreshold = 0.1
+	// A load is reported at least in every loadReportRenewals-th renewal, and at once if a value changes by more than the
+	// fraction loadChangeThreshold.
+	loadReportRenewals  = 4
+	loadChangeThreshold = 0.1
 )
 
-// announcer announces one endpoint to an entry of its region until stopped, or to the fall-back if that does not answer.
+// announcer announces one endpoint until stopped to an entry of its region, or to a fallback if that does not answer.
 type announcer struct {
 	directory *directory.Client
 	region    string
@@ -41,22 +42,28 @@
 	sequence  int64
 	addresses []string
 	lease     time.Duration
-	// holder is the address of the entry that took the last announcement, or empty, and whole what it was told in whole.
-	holder string
-	whole  *wiregen.Announcement
-	// load is the load that was told last, and loadAge how many renewals ago.
-	load    *wiregen.LoadReport
-	loadAge int
-	// cacheSequence is the sequence of the next cache event that the holder expects.
+	// registeredAt is the address of the entry that accepted the last announcement, or empty, and lastFull the last full
+	// announcement that it accepted.
+	registeredAt string
+	lastFull     *wiregen.Announcement
+	// lastLoad is the last reported load, and renewalsSinceLoad the number of renewals since.
+	lastLoad          *wiregen.LoadReport
+	renewalsSinceLoad int
+	// cacheSequence is the sequence number of the next cache event that the entry at registeredAt expects.
 	cacheSequence int64
 }
 
-// newAnnouncer returns an announcer of what describe returns.
+// newAnnouncer returns an announcer of the endpoint that describe returns.
 func newAnnouncer(d *directory.Client, region string, describe func() *wiregen.Announcement) *announcer {
-	return &announcer{directory: d, region: region, client: &http.Client{Timeout: announceTimeout, Transport: &http.Transport{DisableCompression: true}}, describe: describe}
+	return &announcer{
+		directory: d,
+		region:    region,
+		client:    &http.Client{Timeout: announceTimeout, Transport: &http.Transport{DisableCompression: true}},
+		describe:  describe,
+	}
 }
 
-// run announces until ctx ends, and then as leaving until the notice has passed.
+// run announces until ctx ends, and then announces the endpoint as leaving until the notice period is over.
 func (a *announcer) run(ctx context.Context, notice time.Duration) {
 	for ctx.Err() == nil {
 		a.announce(ctx, false)
@@ -74,40 +81,40 @@
 }
 
 func (a *announcer) period() time.Duration {
-	if a.lease <= 0 || a.holder == "" {
-		return announceFallback
+	if a.lease <= 0 || a.registeredAt == "" {
+		return announceRetryPeriod
 	}
 	return a.lease / announcesPerLease
 }
 
-// announce renews what the holder knows, or tells all to it or another entry.
+// announce renews the registration, or sends a full announcement if it cannot be renewed.
 func (a *announcer) announce(ctx context.Context, leaving bool) {
-	a.look(ctx)
+	a.refreshEntries(ctx)
 	m := a.describe()
 	a.sequence++
 	m.Sequence = a.sequence
 	m.Leaving = leaving
-	silent := ""
-	if len(a.addresses) > 0 && a.addresses[0] == a.holder && a.renews(m) {
-		reply, ok := a.send(ctx, a.holder, a.renewal(m))
+	unresponsive := ""
+	if len(a.addresses) > 0 && a.addresses[0] == a.registeredAt && a.canRenew(m) {
+		reply, ok := a.send(ctx, a.registeredAt, a.renewal(m))
 		if ok && !reply.GetWantsWhole() {
-			a.told(m)
+			a.recordAccepted(m)
 			return
 		}
 		if !ok {
-			silent = a.holder
+			unresponsive = a.registeredAt
 		}
 		a.sequence++
 		m.Sequence = a.sequence
 	}
-	a.tellWhole(ctx, m, silent)
+	a.announceFull(ctx, m, unresponsive)
 }
 
-// tellWhole tells all to the first entry that answers, without the one that was just found silent.
-func (a *announcer) tellWhole(ctx context.Context, m *wiregen.Announcement, silent string) {
-	a.holder = ""
+// announceFull sends a full announcement to the first entry that answers, skipping the one that just failed to answer.
+func (a *announcer) announceFull(ctx context.Context, m *wiregen.Announcement, unresponsive string) {
+	a.registeredAt = ""
 	for _, address := range a.addresses {
-		if address == silent {
+		if address == unresponsive {
 			continue
 		}
 		reply, ok := a.send(ctx, address, m)
@@ -115,28 +122,34 @@
 			continue
 		}
 		a.lease = time.Duration(reply.GetLeaseMillis()) * time.Millisecond
-		a.holder, a.whole, a.load = address, m, nil
-		a.told(m)
+		a.registeredAt, a.lastFull, a.lastLoad = address, m, nil
+		a.recordAccepted(m)
 		return
 	}
 }
 
-// renews reports whether m says nothing that the last whole announcement did not say, beside load and cache events.
-func (a *announcer) renews(m *wiregen.Announcement) bool {
-	return !m.GetLeaving() && proto.Equal(lasting(m), lasting(a.whole))
+// canRenew reports whether m is not a leaving announcement and differs from the last full one at most in load and cache
+// events.
+func (a *announcer) canRenew(m *wiregen.Announcement) bool {
+	return !m.GetLeaving() && proto.Equal(withoutRenewedFields(m), withoutRenewedFields(a.lastFull))
 }
 
-// lasting returns what an announcement says beside what each renewal tells anew.
-func lasting(m *wiregen.Announcement) *wiregen.Announcement {
+// withoutRenewedFields returns a copy of an announcement without the fields that every renewal updates.
+func withoutRenewedFields(m *wiregen.Announcement) *wiregen.Announcement {
 	m = proto.CloneOf(m)
 	m.Sequence, m.Load, m.CacheEvents, m.CacheSequence = 0, nil, nil, 0
 	return m
 }
 
-// renewal returns the message that renews the last whole announcement.
+// renewal returns the message that renews the last full announcement.
 func (a *announcer) renewal(m *wiregen.Announcement) *wiregen.Announcement {
-	r := &wiregen.Announcement{Name: m.GetName(), Incarnation: m.GetIncarnation(), Sequence: m.GetSequence(), Renews: a.whole.GetSequence()}
-	if a.loadAge+1 >= loadPeriods || loadDiffers(m.GetLoad(), a.load) {
+	r := &wiregen.Announcement{
+		Name:        m.GetName(),
+		Incarnation: m.GetIncarnation(),
+		Sequence:    m.GetSequence(),
+		Renews:      a.lastFull.GetSequence(),
+	}
+	if a.renewalsSinceLoad+1 >= loadReportRenewals || loadChanged(m.GetLoad(), a.lastLoad) {
 		r.Load = m.GetLoad()
 	}
 	if len(m.GetCacheEvents()) > 0 || m.GetCacheSequence() != a.cacheSequence {
@@ -145,29 +158,33 @@
 	return r
 }
 
-// told notes what the holder knows.
-func (a *announcer) told(m *wiregen.Announcement) {
+// recordAccepted records the cache sequence and load of an announcement that an entry accepted.
+func (a *announcer) recordAccepted(m *wiregen.Announcement) {
 	a.cacheSequence = m.GetCacheSequence() + int64(len(m.GetCacheEvents()))
-	a.loadAge++
-	if a.load == nil || a.loadAge >= loadPeriods || loadDiffers(m.GetLoad(), a.load) {
-		a.load, a.loadAge = m.GetLoad(), 0
+	a.renewalsSinceLoad++
+	if a.lastLoad == nil || a.renewalsSinceLoad >= loadReportRenewals || loadChanged(m.GetLoad(), a.lastLoad) {
+		a.lastLoad, a.renewalsSinceLoad = m.GetLoad(), 0
 	}
 }
 
-// loadDiffers reports whether a load is to be told in place of one that was told.
-func loadDiffers(m, told *wiregen.LoadReport) bool {
-	if m.GetAgeMillis() > 0 || told.GetAgeMillis() > 0 {
+// loadChanged reports whether a load differs enough from the last reported one to be reported at once; a delayed load
+// always does.
+func loadChanged(m, reported *wiregen.LoadReport) bool {
+	if m.GetAgeMillis() > 0 || reported.GetAgeMillis() > 0 {
 		return true
 	}
-	return differs(float64(m.GetRunning()), float64(told.GetRunning())) || differs(float64(m.GetQueued()), float64(told.GetQueued())) ||
-		differs(float64(m.GetQueuedTokens()), float64(told.GetQueuedTokens())) || differs(m.GetTokensPerSecond(), told.GetTokensPerSecond()) ||
-		differs(m.GetPrefillTokensPerSecond(), told.GetPrefillTokensPerSecond()) || differs(m.GetCacheUse(), told.GetCacheUse())
+	return exceedsThreshold(float64(m.GetRunning()), float64(reported.GetRunning())) ||
+		exceedsThreshold(float64(m.GetQueued()), float64(reported.GetQueued())) ||
+		exceedsThreshold(float64(m.GetQueuedTokens()), float64(reported.GetQueuedTokens())) ||
+		exceedsThreshold(m.GetTokensPerSecond(), reported.GetTokensPerSecond()) ||
+		exceedsThreshold(m.GetPrefillTokensPerSecond(), reported.GetPrefillTokensPerSecond()) ||
+		exceedsThreshold(m.GetCacheUse(), reported.GetCacheUse())
 }
 
-func differs(a, b float64) bool { return math.Abs(a-b) > loadThreshold*max(a, b) }
+func exceedsThreshold(a, b float64) bool { return math.Abs(a-b) > loadChangeThreshold*max(a, b) }
 
-// look reads the entries of the region from the directory; the last known ones are kept if it gives no answer.
-func (a *announcer) look(ctx context.Context) {
+// refreshEntries reads the entries of the region from the directory; the last known ones stay if it does not answer.
+func (a *announcer) refreshEntries(ctx context.Context) {
 	entries, err := a.directory.Entries(ctx)
 	if err != nil {
 		return
@@ -179,17 +196,19 @@
 		}
 	}
 	if len(addresses) > 0 {
-		a.addresses = membership.Rendezvous(a.describe().GetName(), addresses, announceEntries)
+		a.addresses = membership.Rendezvous(a.describe().GetName(), addresses, candidateEntries)
 	}
 }
 
-// send posts a message and reports whether the entry took it; a renewal that was taken has an empty reply.
-func (a *announcer) send(ctx context.Context, address string, m *wiregen.Announcement) (*wiregen.AnnouncementReply, bool) {
+// send posts a message and reports whether the entry accepted it; an accepted renewal has an empty reply.
+func (a *announcer) send(ctx context.Context, address string, m *wiregen.Announcement,
+) (*wiregen.AnnouncementReply, bool) {
 	body, err := protojson.Marshal(m)
 	if err != nil {
 		return nil, false
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/announcements", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/announcements",
+		bytes.NewReader(body))
 	if err != nil {
 		return nil, false
 	}
--- a/standin/announcer_test.go
+++ b/standin/announcer_test.go
@@ -16,25 +16,25 @@
 	"arbutusreel/wiregen"
 )
 
-// holder is an entry that takes announcements and may end or forget.
-type holder struct {
-	mu      sync.Mutex
-	taken   []*wiregen.Announcement
-	ended   bool
-	forgets bool
+// fakeEntry is an entry that accepts announcements; it can be down or lose what was announced.
+type fakeEntry struct {
+	mu                  sync.Mutex
+	received            []*wiregen.Announcement
+	down                bool
+	forgetsAnnouncement bool
 }
 
-func (h *holder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b, _ := io.ReadAll(r.Body)
 	m := &wiregen.Announcement{}
-	if h.ended || wire.DecodeJSON(b, m) != nil {
+	if h.down || wire.DecodeJSON(b, m) != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	h.taken = append(h.taken, m)
-	if m.GetRenews() > 0 && !h.forgets {
+	h.received = append(h.received, m)
+	if m.GetRenews() > 0 && !h.forgetsAnnouncement {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -43,62 +43,65 @@
 }
 
 func TestAnnouncer(t *testing.T) {
-	var holders [2]holder
-	listed := NewDirectory()
+	var fakes [2]fakeEntry
+	dir := NewDirectory()
 	var addresses []string
-	byAddress := map[string]*holder{}
-	for i := range holders {
-		server := httptest.NewServer(&holders[i])
+	byAddress := map[string]*fakeEntry{}
+	for i := range fakes {
+		server := httptest.NewServer(&fakes[i])
 		t.Cleanup(server.Close)
 		address := server.Listener.Addr().String()
 		addresses = append(addresses, address)
-		byAddress[address] = &holders[i]
+		byAddress[address] = &fakes[i]
 	}
-	entries := httptest.NewServer(listed.Handler())
+	entries := httptest.NewServer(dir.Handler())
 	t.Cleanup(entries.Close)
 	client := directory.New(entries.Listener.Addr().String(), http.DefaultClient)
 	for _, address := range addresses {
-		if err := client.Publish(t.Context(), membership.Entry{Name: address, Region: "lahore", EndpointAddress: address}); err != nil {
+		if err := client.Publish(t.Context(), membership.Entry{
+			Name: address, Region: "lahore", EndpointAddress: address,
+		}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	order := membership.Rendezvous("engine", addresses, announceEntries)
+	order := membership.Rendezvous("engine", addresses, candidateEntries)
 	first, second := byAddress[order[0]], byAddress[order[1]]
 	var models, loading []string
 	a := newAnnouncer(client, "lahore", func() *wiregen.Announcement {
-		return &wiregen.Announcement{Name: "engine", Region: "lahore", Models: models, Loading: loading, Load: &wiregen.LoadReport{Running: 3}}
+		return &wiregen.Announcement{Name: "engine", Region: "lahore", Models: models, Loading: loading,
+			Load: &wiregen.LoadReport{Running: 3}}
 	})
 	steps := []struct {
 		name    string
 		prepare func()
 		leaving bool
-		// want are the sequences of the messages to the two entries, and 0 before a renewal.
+		// wantFirst and wantSecond are the sequence numbers of the messages to the two entries, with a 0 before each renewal.
 		wantFirst, wantSecond []int64
 	}{
-		{"whole to one entry", func() {}, false, []int64{1}, nil},
+		{"full announcement to one entry", func() {}, false, []int64{1}, nil},
 		{"renewal", func() {}, false, []int64{0, 2}, nil},
-		{"changed models go whole", func() { models = []string{"b"} }, false, []int64{3}, nil},
-		{"models that are loaded go whole", func() { loading = []string{"c"} }, false, []int64{4}, nil},
-		{"the entry forgot", func() { first.forgets = true }, false, []int64{0, 5, 6}, nil},
-		{"the entry ended", func() { first.ended = true }, false, nil, []int64{8}},
-		{"the fall-back holds while the entry is away", func() {}, false, nil, []int64{9}},
-		{"the entry is back", func() { first.ended, first.forgets = false, false }, false, []int64{10}, nil},
-		{"leaving goes whole", func() {}, true, []int64{11}, nil},
+		{"changed models are announced in full", func() { models = []string{"b"} }, false, []int64{3}, nil},
+		{"loading models are announced in full", func() { loading = []string{"c"} }, false, []int64{4}, nil},
+		{"the entry lost its state", func() { first.forgetsAnnouncement = true }, false, []int64{0, 5, 6}, nil},
+		{"the entry is down", func() { first.down = true }, false, nil, []int64{8}},
+		{"renewal at the fallback while the entry is down", func() {}, false, nil, []int64{9}},
+		{"the entry is back", func() { first.down, first.forgetsAnnouncement = false, false }, false, []int64{10}, nil},
+		{"leaving is announced in full", func() {}, true, []int64{11}, nil},
 	}
 	for _, step := range steps {
 		step.prepare()
-		first.taken, second.taken = nil, nil
+		first.received, second.received = nil, nil
 		a.announce(t.Context(), step.leaving)
-		if got := sequences(first.taken); !slices.Equal(got, step.wantFirst) {
-			t.Errorf("%s: the first entry took %v, want %v", step.name, got, step.wantFirst)
+		if got := sequences(first.received); !slices.Equal(got, step.wantFirst) {
+			t.Errorf("%s: the first entry received %v, want %v", step.name, got, step.wantFirst)
 		}
-		if got := sequences(second.taken); !slices.Equal(got, step.wantSecond) {
-			t.Errorf("%s: the fall-back took %v, want %v", step.name, got, step.wantSecond)
+		if got := sequences(second.received); !slices.Equal(got, step.wantSecond) {
+			t.Errorf("%s: the fallback received %v, want %v", step.name, got, step.wantSecond)
 		}
 	}
 }
 
-// sequences returns the sequences of messages, after a 0 for each renewal.
+// sequences returns the sequence numbers of messages, with a 0 before that of each renewal.
 func sequences(messages []*wiregen.Announcement) []int64 {
 	var list []int64
 	for _, m := range messages {
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -7,10 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// meanAnswerTokens is the usual length of an answer, whatever the caller asks for.
+// meanAnswerTokens is the mean length of an answer before it is limited to the caller's maximum.
 const meanAnswerTokens = 40
 
-// AnswerTokens returns the number of tokens of the answer to a prompt: one or more, at most maxTokens.
+// AnswerTokens returns the number of tokens of the answer to a prompt, at least one and at most maxTokens if that is
+// positive.
 func AnswerTokens(model, prompt string, maxTokens int) int {
 	h := xxhash.Sum64String(model + "\x00" + prompt)
 	n := 1 + int(h%(2*meanAnswerTokens-1))
@@ -23,7 +24,7 @@
 	return fmt.Sprintf("%04x ", h&0xffff)
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt.
 func Answer(model, prompt string, maxTokens int) string {
 	var b strings.Builder
 	for i := range AnswerTokens(model, prompt, maxTokens) {
--- a/standin/authority.go
+++ b/standin/authority.go
@@ -13,21 +13,22 @@
 	"time"
 )
 
-// Authority signs certificates of instances on loopback.
+// Authority is a certificate authority for instances on loopback addresses.
 type Authority struct {
 	key         *ecdsa.PrivateKey
 	certificate *x509.Certificate
 	serial      int64
-	from        time.Time
+	validFrom   time.Time
 }
 
-// NewAuthority returns an authority whose certificates hold for a day from the time.
+// NewAuthority returns an authority whose certificates are valid from one hour before the given time until 24 hours
+// after it.
 func NewAuthority(from time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	a := &Authority{key: key, from: from}
+	a := &Authority{key: key, validFrom: from}
 	template := a.template()
 	template.IsCA, template.BasicConstraintsValid = true, true
 	template.KeyUsage = x509.KeyUsageCertSign
@@ -44,32 +45,32 @@
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(a.serial),
 		Subject:      pkix.Name{CommonName: "emulated"},
-		NotBefore:    a.from.Add(-time.Hour),
-		NotAfter:     a.from.Add(24 * time.Hour),
+		NotBefore:    a.validFrom.Add(-time.Hour),
+		NotAfter:     a.validFrom.Add(24 * time.Hour),
 	}
 }
 
-// PEM returns the authority's own certificate.
+// PEM returns the authority's own certificate in PEM form.
 func (a *Authority) PEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.certificate.Raw})
 }
 
-// Sign returns a certificate that bears the URI and holds for the IP numbers, and its key.
-func (a *Authority) Sign(uri *url.URL, numbers ...net.IP) (certificate, key []byte, err error) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+// Sign returns a certificate for the URI and the IP addresses, and its private key, both in PEM form.
+func (a *Authority) Sign(uri *url.URL, ips ...net.IP) (certificate, key []byte, err error) {
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
 	template := a.template()
 	template.URIs = []*url.URL{uri}
-	template.IPAddresses = numbers
+	template.IPAddresses = ips
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, private.Public(), a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, privateKey.Public(), a.key)
 	if err != nil {
 		return nil, nil, err
 	}
-	raw, err := x509.MarshalPKCS8PrivateKey(private)
+	raw, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/standin/behaviour.go
+++ b/standin/behaviour.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// behaviour is what a body asks of the emulated service, so that a test can bring about one failure at one step:
+// behaviour is the fault that a request body injects into the emulated service, so that a test can cause one failure at
+// one step:
 //
-//	delay=1s       waits before it runs the call
-//	late=1s        waits after it ran the call
-//	close          runs the call and closes the connection without an answer
+//	delay=1s       waits before running the call
+//	late=1s        waits after running the call
+//	close          runs the call and closes the connection without a response
 //	closeUnrun     closes the connection without running the call
-//	exit           runs the call and ends the process
+//	exit           runs the call and exits the process
 type behaviour struct {
-	delay, late             time.Duration
+	delayBefore, delayAfter time.Duration
 	closes, skipsRun, exits bool
 }
 
-// behaviourOf returns what a body asks.
-func behaviourOf(body string) behaviour {
+// parseBehaviour returns the behaviour that a body requests; unknown words are ignored.
+func parseBehaviour(body string) behaviour {
 	var b behaviour
 	for _, word := range regexp.MustCompile(`[a-zA-Z]+(=[0-9a-z]+)?`).FindAllString(body, -1) {
 		switch {
 		case len(word) > 6 && word[:6] == "delay=":
-			b.delay, _ = time.ParseDuration(word[6:])
+			b.delayBefore, _ = time.ParseDuration(word[6:])
 		case len(word) > 5 && word[:5] == "late=":
-			b.late, _ = time.ParseDuration(word[5:])
+			b.delayAfter, _ = time.ParseDuration(word[5:])
 		case word == "close":
 			b.closes = true
 		case word == "closeUnrun":
@@ -39,17 +40,18 @@
 	return b
 }
 
-// run runs a body as it asks and reports whether it is to be answered.
+// run runs a call with the behaviour that its body requests and reports how often the body has run and whether the
+// caller gets a response.
 func (s *Service) run(w http.ResponseWriter, body string) (ran int, answered bool) {
-	b := behaviourOf(body)
-	time.Sleep(b.delay)
+	b := parseBehaviour(body)
+	time.Sleep(b.delayBefore)
 	if !b.skipsRun {
-		ran = s.count(body)
+		ran = s.recordRun(body)
 	}
 	if b.exits {
 		os.Exit(1)
 	}
-	time.Sleep(b.late)
+	time.Sleep(b.delayAfter)
 	if !b.closes {
 		return ran, true
 	}
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -13,59 +13,60 @@
 // tokensPerBlock is the number of prompt tokens in one prefix block.
 const tokensPerBlock = completion.PrefixBlockBytes / bytesPerToken
 
-// bytesPerToken is the number of bytes of a prompt in one token.
+// bytesPerToken is the number of prompt bytes that make up one token.
 const bytesPerToken = 4
 
-// maxCacheEvents is the most cache events of one announcement.
+// maxCacheEvents is the largest number of cache events in one announcement.
 const maxCacheEvents = 256
 
-// cacheEvent is an event with the time at which it may be announced.
+// cacheEvent is an event with the time from which it can be announced.
 type cacheEvent struct {
 	event *wiregen.CacheEvent
 	due   time.Time
 }
 
-// cache is the prefix cache of an engine: the blocks used last stay in a limited memory.
+// cache is the prefix cache of an engine, with least-recently-used eviction.
 type cache struct {
-	mu       sync.Mutex
-	capacity int
-	delay    time.Duration
-	gap      float64
-	rng      *rand.Rand
-	blocks   map[uint64]*list.Element
-	recent   *list.List
-	events   []cacheEvent
-	// sequence is the number of the first event that was not announced yet.
+	mu         sync.Mutex
+	capacity   int
+	eventDelay time.Duration
+	lossShare  float64
+	rng        *rand.Rand
+	blocks     map[uint64]*list.Element
+	lru        *list.List
+	events     []cacheEvent
+	// sequence is the number of the first event that has not been announced.
 	sequence int64
 }
 
-// newCache returns an empty cache of capacity blocks whose events are announced after delay, less the share gap that is lost.
-func newCache(capacity int, delay time.Duration, gap float64, rng *rand.Rand) *cache {
+// newCache returns an empty cache of capacity blocks whose events are announced after eventDelay, except for the
+// fraction lossShare of announcements, which are lost.
+func newCache(capacity int, eventDelay time.Duration, lossShare float64, rng *rand.Rand) *cache {
 	return &cache{
-		capacity: capacity,
-		delay:    delay,
-		gap:      gap,
-		rng:      rng,
-		blocks:   map[uint64]*list.Element{},
-		recent:   list.New(),
-		sequence: 1,
+		capacity:   capacity,
+		eventDelay: eventDelay,
+		lossShare:  lossShare,
+		rng:        rng,
+		blocks:     map[uint64]*list.Element{},
+		lru:        list.New(),
+		sequence:   1,
 	}
 }
 
-// use returns the number of prompt tokens that were cached, and stores the prefix.
-func (c *cache) use(now time.Time, prompt string) int {
+// lookupAndStore returns the number of prompt tokens in the longest cached prefix, and stores all blocks of the prompt.
+func (c *cache) lookupAndStore(now time.Time, prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cached := 0
-	whole := true
+	contiguous := true
 	for _, hash := range completion.PrefixHashes(prompt) {
 		element, ok := c.blocks[hash]
-		whole = whole && ok
-		if whole {
+		contiguous = contiguous && ok
+		if contiguous {
 			cached += tokensPerBlock
 		}
 		if ok {
-			c.recent.MoveToFront(element)
+			c.lru.MoveToFront(element)
 			continue
 		}
 		c.store(now, hash)
@@ -73,8 +74,8 @@
 	return cached
 }
 
-// cached returns the number of prompt tokens that are cached.
-func (c *cache) cached(prompt string) int {
+// countCached returns the number of prompt tokens in the longest cached prefix.
+func (c *cache) countCached(prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cached := 0
@@ -87,28 +88,29 @@
 	return cached
 }
 
-// store adds a block and drops the block that was used longest ago if the memory is full.
+// store adds a block and evicts the least recently used one if the cache is full.
 func (c *cache) store(now time.Time, hash uint64) {
 	if c.capacity == 0 {
 		return
 	}
-	if c.recent.Len() >= c.capacity {
-		oldest := c.recent.Back()
-		dropped, _ := c.recent.Remove(oldest).(uint64)
+	if c.lru.Len() >= c.capacity {
+		oldest := c.lru.Back()
+		dropped, _ := c.lru.Remove(oldest).(uint64)
 		delete(c.blocks, dropped)
-		c.note(now, dropped, true)
+		c.recordEvent(now, dropped, true)
 	}
-	c.blocks[hash] = c.recent.PushFront(hash)
-	c.note(now, hash, false)
+	c.blocks[hash] = c.lru.PushFront(hash)
+	c.recordEvent(now, hash, false)
 }
 
-func (c *cache) note(now time.Time, hash uint64, dropped bool) {
+func (c *cache) recordEvent(now time.Time, hash uint64, dropped bool) {
 	event := &wiregen.CacheEvent{PrefixHash: hash, Dropped: dropped, Tokens: tokensPerBlock}
-	c.events = append(c.events, cacheEvent{event: event, due: now.Add(c.delay)})
+	c.events = append(c.events, cacheEvent{event: event, due: now.Add(c.eventDelay)})
 }
 
-// announce returns the events that are due with the sequence of the first; some are lost, which leaves a gap in the sequence.
-func (c *cache) announce(now time.Time) (events []*wiregen.CacheEvent, sequence int64) {
+// takeDueEvents removes and returns the events that are due, with the sequence number of the first; lost events leave a
+// gap in the sequence.
+func (c *cache) takeDueEvents(now time.Time) (events []*wiregen.CacheEvent, sequence int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -121,18 +123,18 @@
 	sequence = c.sequence
 	c.sequence += int64(n)
 	c.events = c.events[n:]
-	if n > 0 && c.rng.Float64() < c.gap {
+	if n > 0 && c.rng.Float64() < c.lossShare {
 		return nil, c.sequence
 	}
 	return events, sequence
 }
 
-// fill returns the share of the memory that is used.
-func (c *cache) fill() float64 {
+// utilization returns the fraction of the capacity that is used.
+func (c *cache) utilization() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.capacity == 0 {
 		return 0
 	}
-	return float64(c.recent.Len()) / float64(c.capacity)
+	return float64(c.lru.Len()) / float64(c.capacity)
 }
--- a/standin/counts.go
+++ b/standin/counts.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxCancels is the number of cancelled requests that an engine remembers.
+// maxCancels limits the number of cancelled requests that an engine records.
 const maxCancels = 10_000
 
-// Counts is what an engine has done since its start.
+// Counts are the counters of an engine since its start.
 type Counts struct {
 	Requests     int64 `json:"requests"`
 	Finished     int64 `json:"finished"`
@@ -18,24 +18,24 @@
 	Tokens       int64 `json:"tokens"`
 	PromptTokens int64 `json:"promptTokens"`
 	CachedTokens int64 `json:"cachedTokens"`
-	// Cancels is the time at which each cancelled request was given up, in microseconds since 1970.
+	// Cancels is the time at which each recorded request was cancelled, in Unix microseconds, by request id.
 	Cancels map[string]int64 `json:"cancels"`
 }
 
-// counts guards the counts of an engine.
+// counts are the counters of an engine, guarded by mu.
 type counts struct {
 	mu      sync.Mutex
 	counts  Counts
 	cancels map[string]int64
 }
 
-func (c *counts) add(change func(*Counts)) {
+func (c *counts) update(change func(*Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.counts)
 }
 
-func (c *counts) cancel(id string, at time.Time) {
+func (c *counts) recordCancel(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Cancelled++
--- a/standin/directory.go
+++ b/standin/directory.go
@@ -14,16 +14,16 @@
 	"arbutusreel/wiregen"
 )
 
-// directoryTTL is how long an entry stays listed without being published again.
+// directoryTTL is how long an entry stays listed after its last publication.
 const directoryTTL = 3 * time.Second
 
-// listing is a published entry with the end of its time to live.
+// listing is a published entry with its expiry time.
 type listing struct {
 	entry   *wiregen.EntryAdvert
 	expires time.Time
 }
 
-// Directory is an emulated directory of entries.
+// Directory emulates the directory of entries.
 type Directory struct {
 	mu       sync.Mutex
 	listings map[string]listing
@@ -32,7 +32,7 @@
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory { return &Directory{listings: map[string]listing{}} }
 
-// Handler serves the directory.
+// Handler serves publication, removal and listing of entries.
 func (d *Directory) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/entries/{name}", d.put)
@@ -71,7 +71,9 @@
 			reply.Entries = append(reply.Entries, l.entry)
 		}
 	}
-	slices.SortFunc(reply.Entries, func(a, b *wiregen.EntryAdvert) int { return strings.Compare(a.GetName(), b.GetName()) })
+	slices.SortFunc(reply.Entries, func(a, b *wiregen.EntryAdvert) int {
+		return strings.Compare(a.GetName(), b.GetName())
+	})
 	b, err := protojson.Marshal(reply)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,6 +1,5 @@
-// Package standin emulates the systems that the gateway serves: model engines, plain services and the directory.
+// Package standin emulates the systems around the gateway: model engines, plain services and the entry directory.
 //
-// It is used by tests, the demo and measurements, never by the gateway. An
-// engine's answer depends only on the model and the prompt, so that a caller
-// can check that it received its own answer whole.
+// It serves tests, the demo and measurements and is never linked into the gateway. An engine's answer depends only on
+// the model and the prompt, so that a caller can verify that it received its own answer completely.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -17,8 +17,8 @@
 	"arbutusreel/wiregen"
 )
 
-// reportPeriod is the period at which an engine notes its load for later reports.
-const reportPeriod = 50 * time.Millisecond
+// loadSamplePeriod is the period at which an engine samples its load for delayed reports.
+const loadSamplePeriod = 50 * time.Millisecond
 
 // EngineConfig describes an emulated model engine.
 type EngineConfig struct {
@@ -29,31 +29,31 @@
 	Service       string
 	Models        []string
 	Slots         int
-	// CacheTokens is the number of KV tokens that running requests share; zero is unbounded.
+	// CacheTokens is the KV cache capacity in tokens that running requests share; zero is unbounded.
 	CacheTokens int
-	// PricePerHour is the price of the engine.
+	// PricePerHour is the price of one hour of the engine, whether it is busy or idle.
 	PricePerHour float64
 	// TokenTime is the time between two tokens of a stream that runs alone.
 	TokenTime time.Duration
-	// BatchSlowdown is the share by which TokenTime grows when all slots run.
+	// BatchSlowdown is the fraction by which TokenTime grows when all slots are occupied.
 	BatchSlowdown float64
-	// PrefillTime is the time that a token of the prompt takes if it is not cached.
+	// PrefillTime is the prefill time of one prompt token that is not cached.
 	PrefillTime time.Duration
-	// CacheBlocks is the number of prefix blocks that the cache holds.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// CacheEventDelay is the age at which a cache event is announced.
+	// CacheEventDelay is the time from a cache event to its announcement.
 	CacheEventDelay time.Duration
-	// CacheEventGap is the share of announcements whose cache events are lost.
+	// CacheEventGap is the fraction of announcements whose cache events are lost.
 	CacheEventGap float64
 	// ReportLag is the age of the load in an announcement.
 	ReportLag time.Duration
-	// KVBytesPerSecond is the rate at which KV cache is exported and imported.
+	// KVBytesPerSecond is the bandwidth of KV cache export and import; zero is unlimited.
 	KVBytesPerSecond float64
 	// LeaveNotice is the time between the first announcement as leaving and the stop.
 	LeaveNotice time.Duration
-	// ChecksFencing makes the engine refuse orders with old fencing numbers.
+	// ChecksFencing makes the engine refuse orders with stale fencing tokens.
 	ChecksFencing bool
-	// LoadTime is the time in which the weight store serves a model, and AdapterLoadTime that of an adapter.
+	// LoadTime is the time to load a model from the weight store, and AdapterLoadTime that of an adapter.
 	LoadTime        time.Duration
 	AdapterLoadTime time.Duration
 	Incarnation     int64
@@ -69,24 +69,24 @@
 	cache     *cache
 	counts    counts
 	tokens    atomic.Int64
-	orders    orders
+	orders    orderLog
 
 	mu      sync.Mutex
 	models  []string
 	loading []string
-	// number is that of the last order that was applied, and changes counts these.
-	number  fencing.Number
-	changes int
-	reports []report
+	// lastOrder is the fencing token of the last applied order, and changeCount the number of applied orders.
+	lastOrder   fencing.Number
+	changeCount int
+	loadSamples []loadSample
 }
 
-// report is the load of an engine at a time.
-type report struct {
+// loadSample is the load of an engine at one time.
+type loadSample struct {
 	at   time.Time
 	load *wiregen.LoadReport
 }
 
-// NewEngine returns an engine that announces itself to the entries of the directory.
+// NewEngine returns an engine that announces itself to the entries listed in the directory.
 func NewEngine(cfg EngineConfig, d *directory.Client) *Engine {
 	rng := rand.New(rand.NewPCG(cfg.Seed, cfg.Seed))
 	return &Engine{
@@ -99,27 +99,27 @@
 	}
 }
 
-// Run announces the engine until ctx ends, and then as leaving.
+// Run announces the engine until ctx ends, and then announces it as leaving for LeaveNotice.
 func (e *Engine) Run(ctx context.Context) {
-	noting, stop := context.WithCancel(context.WithoutCancel(ctx))
+	samplingCtx, stopSampling := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		e.noteLoad(noting)
+		e.sampleLoad(samplingCtx)
 	}()
 	newAnnouncer(e.directory, e.cfg.Region, e.describe).run(ctx, e.cfg.LeaveNotice)
-	stop()
+	stopSampling()
 	<-done
 }
 
-// noteLoad keeps the reports that are younger than the lag.
-func (e *Engine) noteLoad(ctx context.Context) {
-	for clock.Sleep(ctx, reportPeriod) {
+// sampleLoad samples the load periodically and drops samples older than the newest one that is at least ReportLag old.
+func (e *Engine) sampleLoad(ctx context.Context) {
+	for clock.Sleep(ctx, loadSamplePeriod) {
 		now := time.Now()
 		e.mu.Lock()
-		e.reports = append(e.reports, report{at: now, load: e.load()})
-		for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.cfg.ReportLag {
-			e.reports = e.reports[1:]
+		e.loadSamples = append(e.loadSamples, loadSample{at: now, load: e.load()})
+		for len(e.loadSamples) > 1 && now.Sub(e.loadSamples[1].at) >= e.cfg.ReportLag {
+			e.loadSamples = e.loadSamples[1:]
 		}
 		e.mu.Unlock()
 	}
@@ -127,9 +127,9 @@
 
 func (e *Engine) load() *wiregen.LoadReport {
 	running, queued, queuedTokens := e.batch.load()
-	fill := e.cache.fill()
+	cacheUse := e.cache.utilization()
 	if e.cfg.CacheTokens > 0 {
-		fill = e.batch.fill()
+		cacheUse = e.batch.kvUtilization()
 	}
 	return &wiregen.LoadReport{
 		Running:                int64(running),
@@ -137,24 +137,24 @@
 		QueuedTokens:           int64(queuedTokens),
 		TokensPerSecond:        float64(e.cfg.Slots) / e.tokenTime(e.cfg.Slots).Seconds(),
 		PrefillTokensPerSecond: 1 / max(e.cfg.PrefillTime, time.Nanosecond).Seconds(),
-		CacheUse:               fill,
+		CacheUse:               cacheUse,
 	}
 }
 
-// reported returns the load as it was the lag ago, with its age.
-func (e *Engine) reported(now time.Time) *wiregen.LoadReport {
-	if e.cfg.ReportLag == 0 || len(e.reports) == 0 {
+// laggedLoad returns the load as of ReportLag ago, with its age; the caller holds e.mu.
+func (e *Engine) laggedLoad(now time.Time) *wiregen.LoadReport {
+	if e.cfg.ReportLag == 0 || len(e.loadSamples) == 0 {
 		return e.load()
 	}
-	r := e.reports[0]
+	r := e.loadSamples[0]
 	r.load.AgeMillis = now.Sub(r.at).Milliseconds()
 	return r.load
 }
 
-// describe returns the engine's announcement.
+// describe returns the announcement of the engine's current state.
 func (e *Engine) describe() *wiregen.Announcement {
 	now := time.Now()
-	events, sequence := e.cache.announce(now)
+	events, sequence := e.cache.takeDueEvents(now)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return &wiregen.Announcement{
@@ -165,42 +165,46 @@
 		FailureDomain: e.cfg.FailureDomain,
 		Service:       e.cfg.Service,
 		Models:        servedNames(e.models),
-		Versions:      versionsOf(e.models),
+		Versions:      versionedNames(e.models),
 		Loading:       slices.Clone(e.loading),
-		OrderTerm:     e.number.Term,
-		OrderSequence: e.number.Sequence,
+		OrderTerm:     e.lastOrder.Term,
+		OrderSequence: e.lastOrder.Sequence,
 		Slots:         int64(e.cfg.Slots),
-		Load:          e.reported(now),
+		Load:          e.laggedLoad(now),
 		CacheEvents:   events,
 		CacheSequence: sequence,
 		CacheTokens:   int64(e.cfg.CacheTokens),
 	}
 }
 
-// Counts returns what the engine has done since its start.
+// Counts returns the counters of the engine since its start.
 func (e *Engine) Counts() Counts { return e.counts.snapshot() }
 
-// Use returns how much of the engine its requests have taken since its start.
+// Use returns the utilization of the engine since its start.
 func (e *Engine) Use() Use {
 	use := e.batch.use()
 	use.PricePerHour = e.cfg.PricePerHour
 	return use
 }
 
-// tokenTime returns the time between two tokens while a number of requests runs.
+// tokenTime returns the time between two tokens while the given number of requests runs.
 func (e *Engine) tokenTime(running int) time.Duration {
-	full := float64(running) / float64(e.cfg.Slots)
-	return time.Duration(float64(e.cfg.TokenTime) * (1 + e.cfg.BatchSlowdown*full))
+	occupancy := float64(running) / float64(e.cfg.Slots)
+	return time.Duration(float64(e.cfg.TokenTime) * (1 + e.cfg.BatchSlowdown*occupancy))
 }
 
-// Handler serves completions, KV cache transfer and the engine's counts.
+// Handler serves completions, KV cache transfers, engine orders, and the engine's counters and utilization.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, completion.Chat) })
-	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, completion.Text) })
+	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) {
+		e.serveCompletion(w, r, completion.Chat)
+	})
+	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) {
+		e.serveCompletion(w, r, completion.Text)
+	})
 	mux.HandleFunc("POST /v1/kv/export", e.exportKV)
 	mux.HandleFunc("POST /v1/kv/import", e.importKV)
-	mux.HandleFunc("POST /v1/orders", e.takeOrder)
+	mux.HandleFunc("POST /v1/orders", e.handleOrder)
 	mux.HandleFunc("GET /v1/orders", e.listOrders)
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Counts()) })
 	mux.HandleFunc("GET /use", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Use()) })
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -13,35 +13,35 @@
 // kvBytesPerToken is the size of the KV cache of one token.
 const kvBytesPerToken = 128 << 10
 
-// maxKVRequestBytes is the largest request of a KV cache transfer.
+// maxKVRequestBytes is the limit of the body of a KV cache transfer request.
 const maxKVRequestBytes = 16 << 20
 
-// kvRequest asks to export or import the KV cache of a prompt.
+// kvRequest is a request to export or import the KV cache of a prompt.
 type kvRequest struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
 }
 
-// kvReply tells the size of a transfer.
+// kvReply is the size of a transfer.
 type kvReply struct {
 	Tokens int `json:"tokens"`
 	Bytes  int `json:"bytes"`
 }
 
-// exportKV takes the time of sending the cached blocks of a prompt.
+// exportKV waits for the transfer time of the cached blocks of a prompt.
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	e.transfer(w, r, func(prompt string) int { return e.cache.cached(prompt) })
+	e.transfer(w, r, func(prompt string) int { return e.cache.countCached(prompt) })
 }
 
-// importKV takes the time of receiving the blocks of a prompt, and caches them.
+// importKV waits for the transfer time of the blocks of a prompt and caches them.
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
 	e.transfer(w, r, func(prompt string) int {
-		e.cache.use(time.Now(), prompt)
+		e.cache.lookupAndStore(time.Now(), prompt)
 		return len(completion.PrefixHashes(prompt)) * tokensPerBlock
 	})
 }
 
-func (e *Engine) transfer(w http.ResponseWriter, r *http.Request, tokensOf func(prompt string) int) {
+func (e *Engine) transfer(w http.ResponseWriter, r *http.Request, countTokens func(prompt string) int) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxKVRequestBytes))
 	if err != nil {
 		return
@@ -51,9 +51,10 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	tokens := tokensOf(m.Prompt)
+	tokens := countTokens(m.Prompt)
 	bytes := tokens * kvBytesPerToken
-	if e.cfg.KVBytesPerSecond > 0 && !clock.Sleep(r.Context(), time.Duration(float64(bytes)/e.cfg.KVBytesPerSecond*float64(time.Second))) {
+	if e.cfg.KVBytesPerSecond > 0 && !clock.Sleep(r.Context(),
+		time.Duration(float64(bytes)/e.cfg.KVBytesPerSecond*float64(time.Second))) {
 		return
 	}
 	writeJSON(w, kvReply{Tokens: tokens, Bytes: bytes})
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -16,10 +16,10 @@
 	"arbutusreel/wiregen"
 )
 
-// maxOrderBytes is the largest order.
+// maxOrderBytes is the limit of the body of an order.
 const maxOrderBytes = 64 << 10
 
-// Reasons for which an engine refuses an order.
+// Reasons for refusing an order.
 const (
 	reasonOtherEndpoint  = "otherEndpoint"
 	reasonOldNumber      = "oldNumber"
@@ -33,15 +33,16 @@
 	Models   []string `json:"models"`
 }
 
-// orders is the part of an engine that obeys orders.
-type orders struct {
+// orderLog is the fencing state of an engine and its applied orders.
+type orderLog struct {
 	mu      sync.Mutex
-	gate    fencing.Gate
+	fence   fencing.Gate
 	applied []AppliedOrder
 }
 
-// takeOrder applies an order to change the models, unless it is void or bears an old number and the engine checks.
-func (e *Engine) takeOrder(w http.ResponseWriter, r *http.Request) {
+// handleOrder applies an order that changes the models. It refuses orders for other endpoints, orders past their
+// deadline and, if the engine checks fencing, orders with a stale fencing token.
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	if err != nil {
@@ -52,11 +53,16 @@
 		problem.Write(w, problem.New(problem.MalformedRequest, http.StatusBadRequest, "%s", err.Error()), "")
 		return
 	}
-	reason := e.refuseOrder(m, time.Since(received))
+	reason := e.acceptOrder(m, time.Since(received))
 	if reason == "" {
-		e.change(m)
+		e.applyOrder(m)
 	}
-	reply, err := protojson.Marshal(&wiregen.EngineOrderReply{Applied: reason == "", Reason: reason, Term: m.GetTerm(), Sequence: m.GetSequence()})
+	reply, err := protojson.Marshal(&wiregen.EngineOrderReply{
+		Applied:  reason == "",
+		Reason:   reason,
+		Term:     m.GetTerm(),
+		Sequence: m.GetSequence(),
+	})
 	if err != nil {
 		return
 	}
@@ -64,8 +70,8 @@
 	_, _ = w.Write(reply)
 }
 
-// refuseOrder returns why an order is refused, or "" after noting it as applied.
-func (e *Engine) refuseOrder(m *wiregen.EngineOrder, age time.Duration) string {
+// acceptOrder returns the reason to refuse an order, or "" after recording it as applied.
+func (e *Engine) acceptOrder(m *wiregen.EngineOrder, age time.Duration) string {
 	if m.GetEndpoint() != e.cfg.Name {
 		return reasonOtherEndpoint
 	}
@@ -75,39 +81,46 @@
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
 	if e.cfg.ChecksFencing {
-		gate, ok := e.orders.gate.Accept(fencing.Number{Term: m.GetTerm(), Sequence: m.GetSequence()})
+		gate, ok := e.orders.fence.Accept(fencing.Number{Term: m.GetTerm(), Sequence: m.GetSequence()})
 		if !ok {
 			return reasonOldNumber
 		}
-		e.orders.gate = gate
+		e.orders.fence = gate
 	}
-	e.orders.applied = append(e.orders.applied, AppliedOrder{Term: m.GetTerm(), Sequence: m.GetSequence(), Models: m.GetModels()})
+	e.orders.applied = append(e.orders.applied, AppliedOrder{
+		Term:     m.GetTerm(),
+		Sequence: m.GetSequence(),
+		Models:   m.GetModels(),
+	})
 	return ""
 }
 
-// change gives up what the order leaves out at once, and serves what it adds when the weight store has served all of it.
-func (e *Engine) change(m *wiregen.EngineOrder) {
+// applyOrder unloads at once the models that the order omits, and serves the added ones when all of them have been
+// loaded from the weight store.
+func (e *Engine) applyOrder(m *wiregen.EngineOrder) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.changes++
-	change := e.changes
-	e.number = fencing.Number{Term: m.GetTerm(), Sequence: m.GetSequence()}
-	e.models = kept(e.models, m.GetModels())
-	e.loading = slices.DeleteFunc(slices.Clone(m.GetModels()), func(name string) bool { return slices.Contains(e.models, name) })
+	e.changeCount++
+	number := e.changeCount
+	e.lastOrder = fencing.Number{Term: m.GetTerm(), Sequence: m.GetSequence()}
+	e.models = retainModels(e.models, m.GetModels())
+	e.loading = slices.DeleteFunc(slices.Clone(m.GetModels()), func(name string) bool {
+		return slices.Contains(e.models, name)
+	})
 	if len(e.loading) == 0 {
 		return
 	}
 	time.AfterFunc(e.loadTime(), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.changes == change {
+		if e.changeCount == number {
 			e.models = slices.Clone(m.GetModels())
 			e.loading = nil
 		}
 	})
 }
 
-// loadTime returns the time in which the weight store serves all that is being loaded, one after another.
+// loadTime returns the time in which the weight store serves all models being loaded, one after another.
 func (e *Engine) loadTime() time.Duration {
 	var total time.Duration
 	for _, name := range e.loading {
@@ -120,50 +133,54 @@
 	return total
 }
 
-// kept returns what is held and ordered; an adapter goes with the version of its model that it was loaded on.
-func kept(held, ordered []string) []string {
-	left := slices.DeleteFunc(slices.Clone(held), func(name string) bool { return !slices.Contains(ordered, name) })
-	return slices.DeleteFunc(left, func(name string) bool {
+// retainModels returns the loaded models that are ordered; an adapter is unloaded with the version of its model that it
+// was loaded on.
+func retainModels(loaded, ordered []string) []string {
+	retained := slices.DeleteFunc(slices.Clone(loaded), func(name string) bool { return !slices.Contains(ordered, name) })
+	return slices.DeleteFunc(retained, func(name string) bool {
 		n := inventory.ParseName(name)
-		return n.Adapter != "" && !slices.ContainsFunc(left, func(other string) bool { return isModel(other, n.Model) })
+		return n.Adapter != "" && !slices.ContainsFunc(retained, func(other string) bool {
+			return isBaseModel(other, n.Model)
+		})
 	})
 }
 
-// isModel reports whether a held name is the model, in any version.
-func isModel(held, model string) bool {
-	n := inventory.ParseName(held)
+// isBaseModel reports whether a loaded name is the model itself, in any version, and not an adapter.
+func isBaseModel(name, model string) bool {
+	n := inventory.ParseName(name)
 	return n.Model == model && n.Adapter == ""
 }
 
-// servedNames returns the names that requests may ask for.
-func servedNames(held []string) []string {
-	names := slices.Clone(held)
+// servedNames returns the names under which requests can address the loaded models.
+func servedNames(loaded []string) []string {
+	names := slices.Clone(loaded)
 	for i, name := range names {
 		names[i] = inventory.ParseName(name).Served()
 	}
 	return names
 }
 
-// versionsOf returns the held names that bear a version.
-func versionsOf(held []string) []string {
-	return slices.DeleteFunc(slices.Clone(held), func(name string) bool { return inventory.ParseName(name).Version == "" })
+// versionedNames returns the loaded names that contain a version.
+func versionedNames(loaded []string) []string {
+	return slices.DeleteFunc(slices.Clone(loaded),
+		func(name string) bool { return inventory.ParseName(name).Version == "" })
 }
 
-// serves reports whether the engine holds the name now; one that was started without models serves any.
+// serves reports whether the engine has loaded the model; an engine started without models serves any.
 func (e *Engine) serves(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.cfg.Models) == 0 || slices.Contains(servedNames(e.models), name)
 }
 
-// AppliedOrders returns the orders that were applied, oldest first.
+// AppliedOrders returns the applied orders, oldest first.
 func (e *Engine) AppliedOrders() []AppliedOrder {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
 	return append([]AppliedOrder{}, e.orders.applied...)
 }
 
-// listOrders answers the orders that were applied.
+// listOrders responds with the applied orders.
 func (e *Engine) listOrders(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, e.AppliedOrders())
 }
--- a/standin/pool_test.go
+++ b/standin/pool_test.go
@@ -13,20 +13,20 @@
 )
 
 // TestPoolBound runs requests that use more or less than they reserve: the KV tokens held never exceed the pool, the
-// one put back is the last by priority and arrival, and each request ends.
+// preempted request is the last by priority and arrival, and every request finishes.
 func TestPoolBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 100
 		b := newBatch(4, capacity)
-		left := map[*waiter]int{}
-		var all []*waiter
+		left := map[*batchRequest]int{}
+		var all []*batchRequest
 		enter := func() {
 			prompt := rapid.IntRange(1, 50).Draw(t, "prompt")
-			w := b.enter(rapid.IntRange(0, 1).Draw(t, "priority"), prompt, rapid.IntRange(0, 80).Draw(t, "reserve"))
+			w := b.submit(rapid.IntRange(0, 1).Draw(t, "priority"), prompt, rapid.IntRange(0, 80).Draw(t, "reserve"))
 			left[w] = rapid.IntRange(1, 50).Draw(t, "answer")
 			all = append(all, w)
 		}
-		step := func(w *waiter) {
+		step := func(w *batchRequest) {
 			last := w
 			for _, other := range b.running {
 				if last.before(other) {
@@ -38,16 +38,16 @@
 				left[w]--
 			}
 			if b.meter.use.Preempted > before && last.index < 0 {
-				t.Fatal("another request was put back than the last one")
+				t.Fatal("the preempted request is not the last one")
 			}
 			if left[w] == 0 {
-				b.leave(w)
+				b.remove(w)
 				delete(left, w)
 			}
 		}
 		for steps := 0; steps < 20 || len(left) > 0; steps++ {
 			if steps > 10_000 {
-				t.Fatalf("%d requests do not end", len(left))
+				t.Fatalf("%d requests have not finished", len(left))
 			}
 			if steps < 20 {
 				enter()
@@ -75,12 +75,14 @@
 		}
 	}
 	if held != b.pool.held || used != b.pool.used || held > b.pool.capacity || len(b.running) > b.slots {
-		t.Fatalf("held %d (counted %d), used %d (counted %d) of %d by %d", held, b.pool.held, used, b.pool.used, b.pool.capacity, len(b.running))
+		t.Fatalf("held %d (counted %d), used %d (counted %d) of %d by %d", held, b.pool.held, used, b.pool.used,
+			b.pool.capacity, len(b.running))
 	}
 }
 
-// TestPoolServes sends requests that reserve too little for their answers: each is answered whole, some are put back,
-// and the pool is not exceeded. Those that reserve all that they may use are not put back, and fewer run at once.
+// TestPoolServes sends requests that reserve too little for their answers: each gets its complete answer, some are
+// preempted, and the pool is not exceeded. Requests that reserve all that they may use are not preempted, and fewer run
+// at once.
 func TestPoolServes(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -93,7 +95,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := NewEngine(EngineConfig{Slots: 8, CacheTokens: 240, TokenTime: time.Millisecond, PrefillTime: time.Millisecond, Models: []string{"m"}}, nil)
+				e := NewEngine(EngineConfig{Slots: 8, CacheTokens: 240, TokenTime: time.Millisecond, PrefillTime: time.Millisecond,
+					Models: []string{"m"}}, nil)
 				handler := e.Handler()
 				var wg sync.WaitGroup
 				for i := range 16 {
@@ -101,7 +104,8 @@
 					wg.Go(func() {
 						body := `{"model":"m","prompt":"` + prompt + `","max_tokens":100` + tt.reserve + `}`
 						w := httptest.NewRecorder()
-						handler.ServeHTTP(w, httptest.NewRequestWithContext(context.Background(), "POST", "/v1/completions", strings.NewReader(body)))
+						handler.ServeHTTP(w, httptest.NewRequestWithContext(context.Background(), "POST", "/v1/completions",
+							strings.NewReader(body)))
 						if want := Answer("m", prompt, 100); !strings.Contains(w.Body.String(), want) {
 							t.Errorf("the answer %s lacks %q", w.Body, want)
 						}
--- a/standin/service.go
+++ b/standin/service.go
@@ -24,7 +24,7 @@
 	Incarnation int64
 }
 
-// Service is an emulated plain service that counts each call it ran.
+// Service is an emulated plain service that counts the runs of each call.
 type Service struct {
 	cfg       ServiceConfig
 	directory *directory.Client
@@ -32,12 +32,12 @@
 	ran       map[string]int
 }
 
-// NewService returns a service that announces itself to the entries of the directory.
+// NewService returns a service that announces itself to the entries listed in the directory.
 func NewService(cfg ServiceConfig, d *directory.Client) *Service {
 	return &Service{cfg: cfg, directory: d, ran: map[string]int{}}
 }
 
-// Run announces the service until ctx ends, and then as leaving.
+// Run announces the service until ctx ends, and then announces it as leaving for LeaveNotice.
 func (s *Service) Run(ctx context.Context) {
 	newAnnouncer(s.directory, s.cfg.Region, s.describe).run(ctx, s.cfg.LeaveNotice)
 }
@@ -54,13 +54,13 @@
 	}
 }
 
-// serviceAnswer is the answer of a call on the wire.
-type serviceAnswer struct {
+// serviceResponse is the JSON response to a call.
+type serviceResponse struct {
 	Endpoint string `json:"endpoint"`
 	Ran      int    `json:"ran"`
 }
 
-// Handler serves calls; GET /ran answers how often each body was run.
+// Handler serves calls; GET /ran responds with the number of runs of each body.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ran", func(w http.ResponseWriter, _ *http.Request) {
@@ -74,14 +74,14 @@
 			return
 		}
 		if ran, answered := s.run(w, string(body)); answered {
-			writeJSON(w, serviceAnswer{Endpoint: s.cfg.Name, Ran: ran})
+			writeJSON(w, serviceResponse{Endpoint: s.cfg.Name, Ran: ran})
 		}
 	})
 	return mux
 }
 
-// count counts one more run of a body and returns the number of its runs.
-func (s *Service) count(body string) int {
+// recordRun counts one more run of a body and returns the number of its runs.
+func (s *Service) recordRun(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ran[body]++
