--- a/directory/client.go
+++ b/directory/client.go
@@ -14,7 +14,7 @@
 	"arbutusreel/wiregen"
 )
 
-// StatusError says that the directory refused a request.
+// StatusError reports that the directory refused a request.
 type StatusError struct {
 	Status int
 }
@@ -24,18 +24,18 @@
 	return fmt.Sprintf("directory answered with status %d", e.Status)
 }
 
-// Client speaks to the directory at one address.
+// Client is a client of the directory at one address.
 type Client struct {
 	address string
 	client  *http.Client
 }
 
-// New returns a client of the directory at the address, an IP number and a port.
+// New returns a client of the directory at the address, which has the form ip:port.
 func New(address string, client *http.Client) *Client {
 	return &Client{address: address, client: client}
 }
 
-// Publish lists the entry until its time to live in the directory ends; a refusal returns *StatusError.
+// Publish lists the entry in the directory until its time to live ends; a refusal returns *StatusError.
 func (c *Client) Publish(ctx context.Context, e membership.Entry) error {
 	body, err := protojson.Marshal(wire.EncodeEntries([]membership.Entry{e})[0])
 	if err != nil {
@@ -44,7 +44,7 @@
 	return c.do(ctx, http.MethodPut, e.Name, body)
 }
 
-// Remove takes the entry off the list; a refusal returns *StatusError.
+// Remove removes the entry from the directory; a refusal returns *StatusError.
 func (c *Client) Remove(ctx context.Context, name string) error {
 	return c.do(ctx, http.MethodDelete, name, nil)
 }
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// Entries reads the list of entries from the directory; it is used by endpoints' and callers' tools.
+// Entries returns the entries listed in the directory, for the tools of endpoints and callers; a refusal returns
+// *StatusError.
 func (c *Client) Entries(ctx context.Context) ([]membership.Entry, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/v1/entries", nil)
 	if err != nil {
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,2 +1,2 @@
-// Package directory publishes the entries to the directory in which callers and endpoints look them up.
+// Package directory publishes entries to the directory in which callers and endpoints look them up, and lists them.
 package directory
--- a/endpoint/body.go
+++ b/endpoint/body.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// newBody hides the type of the reader, so that net/http cannot make a copy of the body to send it again.
-func newBody(b []byte) io.Reader {
+// newOpaqueBody returns a reader of b whose type net/http does not know, so that it cannot copy the body and send it
+// again.
+func newOpaqueBody(b []byte) io.Reader {
 	return io.MultiReader(bytes.NewReader(b))
 }
--- a/endpoint/doc.go
+++ b/endpoint/doc.go
@@ -1,5 +1,5 @@
-// Package endpoint speaks to endpoints: model engines and plain services.
+// Package endpoint sends requests to endpoints: model engines and plain services.
 //
-// A failure before the connection was made is certain not to have run; any
-// later failure of a call is of unknown outcome.
+// A call that fails before the connection is established, or before its first byte is sent, has certainly not run; the
+// outcome of a call that fails later is unknown.
 package endpoint
--- a/endpoint/errors.go
+++ b/endpoint/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// UnreachableError says that an endpoint gave no answer.
+// UnreachableError reports that an endpoint gave no answer.
 type UnreachableError struct {
 	Endpoint string
 	Cause    error
@@ -19,7 +19,7 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// StatusError says that an endpoint answered with a status of failure.
+// StatusError reports that an endpoint answered with a status other than 200.
 type StatusError struct {
 	Endpoint string
 	Status   int
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("endpoint %q answered with status %d", e.Endpoint, e.Status)
 }
 
-// NotSentError says that no byte of a call can have reached the endpoint.
+// NotSentError reports that no byte of a call can have reached the endpoint.
 type NotSentError struct {
 	Endpoint string
 	Cause    error
@@ -47,7 +47,7 @@
 // NotRun returns true.
 func (e *NotSentError) NotRun() bool { return true }
 
-// DoubtError says that a call was sent, at least in part, and its outcome is not known.
+// DoubtError reports that a call was sent, at least in part, and that its outcome is unknown.
 type DoubtError struct {
 	Endpoint string
 	Cause    error
@@ -55,49 +55,49 @@
 
 // Error names the endpoint and the cause.
 func (e *DoubtError) Error() string {
-	return fmt.Sprintf("outcome of the call sent to endpoint %q is not known: %v", e.Endpoint, e.Cause)
+	return fmt.Sprintf("outcome of the call sent to endpoint %q is unknown: %v", e.Endpoint, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *DoubtError) Unwrap() error { return e.Cause }
 
-// NoFinishReasonError says that an answer reached its end mark without a finish reason.
+// NoFinishReasonError reports that an answer reached its end mark without a finish reason.
 type NoFinishReasonError struct{}
 
 // Error says what is missing.
 func (e *NoFinishReasonError) Error() string { return "the answer has no finish reason" }
 
-// NoPositionError says that a piece of an answer bears no position.
+// NoPositionError reports that a piece of an answer has no position.
 type NoPositionError struct{}
 
 // Error says what is missing.
 func (e *NoPositionError) Error() string { return "a piece of the answer has no position" }
 
-// AfterEndError says that a new piece came after the end of the answer.
+// AfterEndError reports that a new piece arrived after the end of the answer.
 type AfterEndError struct {
 	Position int
 }
 
 // Error names the position.
 func (e *AfterEndError) Error() string {
-	return fmt.Sprintf("position %d came after the end of the answer", e.Position)
+	return fmt.Sprintf("position %d arrived after the end of the answer", e.Position)
 }
 
-// EngineError says that an engine ended an answer by an error event.
+// EngineError reports that an engine ended an answer with an error event.
 type EngineError struct{}
 
 // Error says what happened.
-func (e *EngineError) Error() string { return "the engine ended the answer by an error event" }
+func (e *EngineError) Error() string { return "the engine ended the answer with an error event" }
 
-// LateError says that the time in which a call may be sent was over.
+// LateError reports that the deadline for sending a call has passed or the call has ended.
 type LateError struct {
 	SendBy time.Time
 }
 
-// Error says when the call had to be sent.
+// Error names the deadline.
 func (e *LateError) Error() string { return "the call had to be sent by " + e.SendBy.String() }
 
-// ResendRefusedError says that a second connection was refused to a call.
+// ResendRefusedError reports that a second connection for a call was refused.
 type ResendRefusedError struct {
 	Address string
 }
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("a second connection to %q for one call is refused", e.Address)
 }
 
-// AnswerTooLongError says that the answer of a plain service is longer than allowed.
+// AnswerTooLongError reports that the answer of a plain service exceeds the size limit.
 type AnswerTooLongError struct {
 	Endpoint string
 	Limit    int64
--- a/endpoint/model.go
+++ b/endpoint/model.go
@@ -15,30 +15,31 @@
 	"arbutusreel/stream"
 )
 
-// maxProblemBytes is the longest body of a refusal that is read.
+// maxProblemBytes is the number of bytes read from the body of an error response.
 const maxProblemBytes = 64 << 10
 
-// Header fields that an engine understands besides the body.
+// Header fields that an engine reads.
 const (
 	requestIDHeader = "X-Request-Id"
 	attemptHeader   = "X-Attempt"
 )
 
-// Models speaks to model engines.
+// Models sends requests to model engines.
 type Models struct {
 	client *http.Client
 }
 
 var _ dispatch.ModelCaller = (*Models)(nil)
 
-// NewModels returns a client of model engines that keeps connections open.
+// NewModels returns a client of model engines that reuses connections.
 func NewModels() *Models {
 	return &Models{client: &http.Client{Transport: newTransport(true)}}
 }
 
-// Generate sends the request to the engine and its pieces to the sink; a stream that stops early returns *stream.IncompleteError.
+// Generate sends the request to the engine and passes the pieces of its answer to the sink. It returns
+// *stream.IncompleteError if the stream stops early.
 func (m *Models) Generate(ctx context.Context, e membership.Endpoint, r dispatch.Request, attempt dispatch.Attempt, sink stream.Sink) (stream.End, error) {
-	body, err := engineBody(r, attempt)
+	body, err := buildEngineBody(r, attempt)
 	if err != nil {
 		return stream.End{}, err
 	}
@@ -57,19 +58,20 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return stream.End{}, refusal(e, resp)
+		return stream.End{}, responseError(e, resp)
 	}
-	return newReader(r.CorrelationID, attempt.Number, attempt.Next, sink).read(resp.Body)
+	return newAnswerReader(r.CorrelationID, attempt.Number, attempt.Next, sink).read(resp.Body)
 }
 
-// resume asks an engine to go on after the text that earlier attempts have sent.
-type resume struct {
+// resumePoint asks an engine to continue after the text that earlier attempts have sent.
+type resumePoint struct {
 	Position int    `json:"position"`
 	Text     string `json:"text"`
 }
 
-// engineBody returns the body with streaming asked for, whatever the caller asked, from the attempt's first piece on.
-func engineBody(r dispatch.Request, attempt dispatch.Attempt) ([]byte, error) {
+// buildEngineBody returns the request body for the engine: always with streaming, whatever the caller asked for, and
+// starting at the first piece of the attempt.
+func buildEngineBody(r dispatch.Request, attempt dispatch.Attempt) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(r.Body, &fields); err != nil {
 		return nil, &completion.MalformedError{Cause: err}
@@ -79,7 +81,7 @@
 	fields["reserveTokens"] = json.RawMessage(strconv.Itoa(attempt.Reserve))
 	delete(fields, "resume")
 	if attempt.Next > 0 {
-		from, err := json.Marshal(resume{Position: attempt.Next, Text: attempt.Text})
+		from, err := json.Marshal(resumePoint{Position: attempt.Next, Text: attempt.Text})
 		if err != nil {
 			return nil, &completion.MalformedError{Cause: err}
 		}
@@ -88,8 +90,8 @@
 	return json.Marshal(fields)
 }
 
-// refusal returns the problem of an engine's answer that is no stream.
-func refusal(e membership.Endpoint, resp *http.Response) error {
+// responseError returns the problem in an error response of an engine, or *StatusError if there is none.
+func responseError(e membership.Endpoint, resp *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxProblemBytes))
 	if p, ok := problem.Decode(b); ok {
 		return p
--- a/endpoint/model_test.go
+++ b/endpoint/model_test.go
@@ -20,7 +20,7 @@
 
 const requestID = "own"
 
-// sink keeps the text that it was given.
+// sink records the text of the pieces.
 type sink struct{ strings.Builder }
 
 func (s *sink) Piece(p stream.Piece) error {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// engine is a fake that answers each request with the same bytes.
+// engine starts a fake engine that answers each request with the same bytes.
 func engine(t testing.TB, answer *[]byte, cut *bool) membership.Endpoint {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(*answer)
@@ -75,7 +75,8 @@
 	return b.String()
 }
 
-// TestMisbehavingEngine mixes foreign, late, doubled, reordered and lost events into an answer.
+// TestMisbehavingEngine inserts, duplicates, reorders and drops events of an answer, including events of other requests
+// and earlier attempts.
 func TestMisbehavingEngine(t *testing.T) {
 	var answer []byte
 	var cut bool
@@ -102,10 +103,10 @@
 		answer = append(bytes.Join(events, nil), event([]byte(completion.Done))...)
 		got, end, err := generate(t, e, 1)
 		if !strings.HasPrefix(text(n), got) {
-			rt.Fatalf("the text %q is no beginning of the answer %q", got, text(n))
+			rt.Fatalf("the text %q is not a prefix of the answer %q", got, text(n))
 		}
 		if err == nil && (got != text(n) || end.Pieces != n) {
-			rt.Fatalf("the text %q with end %+v passed as the whole answer %q", got, end, text(n))
+			rt.Fatalf("the text %q with end %+v passed as the complete answer %q", got, end, text(n))
 		}
 		var incomplete *stream.IncompleteError
 		if err != nil && !errors.As(err, &incomplete) {
@@ -114,7 +115,7 @@
 	})
 }
 
-// TestDroppedEvents checks that harmless events do not end a whole answer.
+// TestDroppedEvents checks that duplicate, late and foreign events and comments do not make a complete answer fail.
 func TestDroppedEvents(t *testing.T) {
 	own := wholeEvents(requestID, 1, 3)
 	late := wholeEvents(requestID, 0, 3)
@@ -140,7 +141,7 @@
 	}
 }
 
-// TestResume checks that a resumed attempt takes the pieces from its position on, and counts them all.
+// TestResume checks that a resumed attempt accepts the pieces from its position on, and that the end counts all pieces.
 func TestResume(t *testing.T) {
 	events := wholeEvents(requestID, 1, 4)
 	answer := append(bytes.Join(events[1:], nil), event([]byte(completion.Done))...)
@@ -153,17 +154,17 @@
 	if err != nil || text(2)+s.String() != text(4) || end.Pieces != 4 {
 		t.Errorf("text %q, end %+v, error %v", s.String(), end, err)
 	}
-	body, _ := engineBody(r, attempt)
+	body, _ := buildEngineBody(r, attempt)
 	if !bytes.Contains(body, []byte(`"resume":{"position":2,"text":"t0 t1 "}`)) {
 		t.Errorf("the engine was sent %s", body)
 	}
-	if body, _ = engineBody(r, dispatch.Attempt{}); bytes.Contains(body, []byte("resume")) {
+	if body, _ = buildEngineBody(r, dispatch.Attempt{}); bytes.Contains(body, []byte("resume")) {
 		t.Errorf("a caller's own resume was sent to the engine: %s", body)
 	}
 }
 
-// TestCutAtEveryByte cuts the connection at each byte of an answer.
-func TestCutAtEveryByte(t *testing.T) {
+// TestTruncatedAtEveryByte cuts the connection at each byte of an answer.
+func TestTruncatedAtEveryByte(t *testing.T) {
 	const n = 3
 	whole := append(bytes.Join(wholeEvents(requestID, 0, n), nil), event([]byte(completion.Done))...)
 	mark := len(whole) - len("\n\n")
@@ -174,10 +175,10 @@
 		answer = whole[:i]
 		got, _, err := generate(t, e, 0)
 		if err == nil {
-			t.Fatalf("an answer cut at byte %d of %d passed as whole", i, len(whole))
+			t.Fatalf("an answer cut at byte %d of %d passed as complete", i, len(whole))
 		}
 		if !strings.HasPrefix(text(n), got) {
-			t.Fatalf("cut at byte %d: the text %q is no beginning of the answer", i, got)
+			t.Fatalf("cut at byte %d: the text %q is not a prefix of the answer", i, got)
 		}
 	}
 }
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -9,10 +9,10 @@
 	"arbutusreel/membership"
 )
 
-// maxReplyBytes is the longest answer of a plain service.
+// maxReplyBytes is the largest answer of a plain service.
 const maxReplyBytes = 8 << 20
 
-// Plain speaks to plain services, with a transport and a connection for each call so that none is ever sent again.
+// Plain sends calls to plain services. Each call has its own transport and connection, so that none is ever sent again.
 type Plain struct{}
 
 var _ dispatch.PlainCaller = (*Plain)(nil)
@@ -20,14 +20,15 @@
 // NewPlain returns a client of plain services.
 func NewPlain() *Plain { return &Plain{} }
 
-func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// once is a body that can be read only once, so that it cannot be sent again.
-type once struct{ io.Reader }
+// singleReadBody is a body that can be read only once, so that it cannot be sent again.
+type singleReadBody struct{ io.Reader }
 
-// Call sends the call once; it returns *NotSentError if no byte was sent and *DoubtError if no whole answer came.
+// Call sends the call once. It returns *NotSentError if no byte was sent, and *DoubtError if no complete answer
+// arrived.
 func (p *Plain) Call(ctx context.Context, e membership.Endpoint, r dispatch.Request) (dispatch.Reply, error) {
-	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+e.Address+r.Path, once{newBody(r.Body)})
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+e.Address+r.Path, singleReadBody{newOpaqueBody(r.Body)})
 	if err != nil {
 		return dispatch.Reply{}, &NotSentError{Endpoint: e.Name, Cause: err}
 	}
@@ -37,12 +38,12 @@
 	}
 	req.Header.Set("Content-Type", r.ContentType)
 	req.Header.Set(requestIDHeader, r.CorrelationID)
-	g := &guard{sendBy: r.SendBy}
-	transport := g.transport()
+	g := &sendOnce{sendBy: r.SendBy}
+	transport := g.newTransport()
 	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport, CheckRedirect: refuseRedirect}
+	client := &http.Client{Transport: transport, CheckRedirect: rejectRedirect}
 	resp, err := client.Do(req)
-	if err != nil && !g.end() {
+	if err != nil && !g.close() {
 		return dispatch.Reply{}, &NotSentError{Endpoint: e.Name, Cause: err}
 	}
 	if err != nil {
@@ -51,7 +52,7 @@
 	return readReply(e, resp)
 }
 
-// readReply reads a whole answer; a part of one returns *DoubtError.
+// readReply reads a complete answer; an incomplete one returns *DoubtError.
 func readReply(e membership.Endpoint, resp *http.Response) (dispatch.Reply, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
--- a/endpoint/plain_test.go
+++ b/endpoint/plain_test.go
@@ -11,7 +11,7 @@
 	"arbutusreel/membership"
 )
 
-// TestReplySize checks that an answer is whole or fails.
+// TestReplySize checks that a reply is returned complete or the call fails.
 func TestReplySize(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/endpoint/reader.go
+++ b/endpoint/reader.go
@@ -9,17 +9,17 @@
 	"arbutusreel/stream"
 )
 
-// Sizes of the events of a streamed answer.
+// Buffer sizes, in bytes, for a line of a streamed answer.
 const (
 	maxEventBytes     = 1 << 20
 	initialEventBytes = 4096
 )
 
-// errorEvent is the name of the server-sent event by which an engine ends a failed answer.
+// errorEvent is the name of the server-sent event with which an engine ends a failed answer.
 const errorEvent = "error"
 
-// reader reads the answer of one attempt from its server-sent events.
-type reader struct {
+// answerReader reads the answer of one attempt from server-sent events.
+type answerReader struct {
 	requestID string
 	attempt   int
 	sequencer *stream.Sequencer
@@ -28,17 +28,17 @@
 	ended     bool
 }
 
-// newReader returns a reader of an attempt whose first piece has the position next.
-func newReader(requestID string, attempt, next int, sink stream.Sink) *reader {
-	return &reader{requestID: requestID, attempt: attempt, sequencer: stream.NewSequencer(requestID, attempt, next), sink: sink}
+// newAnswerReader returns a reader for an attempt whose first piece has the position next.
+func newAnswerReader(requestID string, attempt, next int, sink stream.Sink) *answerReader {
+	return &answerReader{requestID: requestID, attempt: attempt, sequencer: stream.NewSequencer(requestID, attempt, next), sink: sink}
 }
 
-// read gives the pieces to the sink until the end mark; any other end returns *stream.IncompleteError.
-func (a *reader) read(body io.Reader) (stream.End, error) {
+// read passes the pieces to the sink until the end mark; any other end returns *stream.IncompleteError.
+func (a *answerReader) read(body io.Reader) (stream.End, error) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, initialEventBytes), maxEventBytes)
 	for scanner.Scan() {
-		done, err := a.line(scanner.Bytes())
+		done, err := a.handleLine(scanner.Bytes())
 		if err != nil {
 			return stream.End{}, a.incomplete(err)
 		}
@@ -52,12 +52,12 @@
 	return stream.End{}, a.incomplete(io.ErrUnexpectedEOF)
 }
 
-func (a *reader) incomplete(cause error) error {
+func (a *answerReader) incomplete(cause error) error {
 	return &stream.IncompleteError{RequestID: a.requestID, Pieces: a.sequencer.Next(), Cause: cause}
 }
 
-// line takes one line of the stream and reports whether it was the end mark.
-func (a *reader) line(line []byte) (bool, error) {
+// handleLine processes one line of the stream and reports whether it was the end mark.
+func (a *answerReader) handleLine(line []byte) (bool, error) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
 		return false, nil
@@ -69,12 +69,12 @@
 			return false, &EngineError{}
 		}
 	case "data":
-		return a.data(value)
+		return a.handleData(value)
 	}
 	return false, nil
 }
 
-func (a *reader) data(data []byte) (bool, error) {
+func (a *answerReader) handleData(data []byte) (bool, error) {
 	if string(data) == completion.Done {
 		if !a.ended {
 			return false, &NoFinishReasonError{}
@@ -85,11 +85,11 @@
 	if err != nil {
 		return false, err
 	}
-	return false, a.event(event)
+	return false, a.handleEvent(event)
 }
 
-// event takes the piece and the end of an event; an event of another request or attempt is dropped.
-func (a *reader) event(event completion.Event) error {
+// handleEvent processes the piece and the end in an event. It drops events of other requests and attempts.
+func (a *answerReader) handleEvent(event completion.Event) error {
 	attempt := a.attempt
 	if event.HasAttempt {
 		attempt = event.Attempt
@@ -97,17 +97,17 @@
 	if !a.sequencer.Owns(event.ID, attempt) {
 		return nil
 	}
-	if err := a.piece(event); err != nil {
+	if err := a.handlePiece(event); err != nil {
 		return err
 	}
 	if event.FinishReason == "" || a.ended {
 		return nil
 	}
-	return a.finish(event)
+	return a.handleEnd(event)
 }
 
-// piece gives the piece of an event to the sink if it is the next one.
-func (a *reader) piece(event completion.Event) error {
+// handlePiece passes the piece of an event to the sink if it is the next one.
+func (a *answerReader) handlePiece(event completion.Event) error {
 	if !event.HasPosition {
 		if event.Text != "" {
 			return &NoPositionError{}
@@ -125,8 +125,8 @@
 	return a.sink.Piece(piece)
 }
 
-// finish takes the end of the answer, which must count the pieces accepted if it counts any.
-func (a *reader) finish(event completion.Event) error {
+// handleEnd records the end of the answer. If the end states a number of pieces, it must match the pieces accepted.
+func (a *answerReader) handleEnd(event completion.Event) error {
 	end := stream.End{
 		FinishReason: event.FinishReason,
 		Pieces:       a.sequencer.Next(),
--- a/endpoint/guard_test.go
+++ b/endpoint/send_once_test.go
@@ -16,22 +16,22 @@
 	"arbutusreel/membership"
 )
 
-// closer is a server that answers the first request of each kept connection and closes it after reading the second.
-type closer struct {
-	address string
-	read    atomic.Int32
-	// answers is how many requests of a connection are answered.
+// closingServer answers the first requests of each connection, and closes the connection after reading one more.
+type closingServer struct {
+	address  string
+	requests atomic.Int32
+	// answers is the number of requests answered on each connection.
 	answers int
 }
 
-func newCloser(t *testing.T, answers int) *closer {
+func newClosingServer(t *testing.T, answers int) *closingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	c := &closer{address: l.Addr().String(), answers: answers}
+	c := &closingServer{address: l.Addr().String(), answers: answers}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -44,7 +44,7 @@
 	return c
 }
 
-func (c *closer) serve(conn net.Conn) {
+func (c *closingServer) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for i := range c.answers + 1 {
@@ -53,44 +53,45 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		c.read.Add(1)
+		c.requests.Add(1)
 		if i < c.answers {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	}
 }
 
-// TestResendTrap shows that net/http sends a call again after a kept connection was closed, and that Plain does not.
-func TestResendTrap(t *testing.T) {
-	trap := newCloser(t, 1)
+// TestPlainCallNotResent checks that net/http sends a call again after the endpoint closed a reused connection, and
+// that Plain does not.
+func TestPlainCallNotResent(t *testing.T) {
+	resending := newClosingServer(t, 1)
 	client := &http.Client{}
 	for range 2 {
-		req, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+trap.address+"/", strings.NewReader("order"))
+		req, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+resending.address+"/", strings.NewReader("order"))
 		req.Header.Set("Idempotency-Key", "k")
 		if resp, err := client.Do(req); err == nil {
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 		}
 	}
-	if n := trap.read.Load(); n != 3 {
-		t.Errorf("net/http sent two calls %d times; the trap that Plain avoids is gone", n)
+	if n := resending.requests.Load(); n != 3 {
+		t.Errorf("net/http sent two calls %d times, want 3: it no longer resends, which Plain guards against", n)
 	}
-	s := newCloser(t, 1)
+	single := newClosingServer(t, 1)
 	plain := NewPlain()
 	for range 2 {
-		if _, err := plain.Call(t.Context(), membership.Endpoint{Address: s.address}, dispatch.Request{Method: http.MethodPost, Path: "/", Body: []byte("order")}); err != nil {
+		if _, err := plain.Call(t.Context(), membership.Endpoint{Address: single.address}, dispatch.Request{Method: http.MethodPost, Path: "/", Body: []byte("order")}); err != nil {
 			t.Errorf("a call on a connection of its own failed: %v", err)
 		}
 	}
-	if n := s.read.Load(); n != 2 {
+	if n := single.requests.Load(); n != 2 {
 		t.Errorf("two calls were sent %d times", n)
 	}
 }
 
 func TestCallSentOnce(t *testing.T) {
-	ended, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	refusing := newCloser(t, 0)
+	closing := newClosingServer(t, 0)
 	tests := []struct {
 		name    string
 		ctx     context.Context
@@ -99,14 +100,14 @@
 		notSent bool
 		read    int32
 	}{
-		{name: "closed after reading", ctx: t.Context(), address: refusing.address, read: 1},
-		{name: "too late to send", ctx: t.Context(), address: refusing.address, sendBy: time.Now().Add(-time.Second), notSent: true},
-		{name: "ended before sending", ctx: ended, address: refusing.address, notSent: true},
+		{name: "closed after reading", ctx: t.Context(), address: closing.address, read: 1},
+		{name: "too late to send", ctx: t.Context(), address: closing.address, sendBy: time.Now().Add(-time.Second), notSent: true},
+		{name: "ended before sending", ctx: cancelled, address: closing.address, notSent: true},
 		{name: "nobody listens", ctx: t.Context(), address: "127.0.0.1:1", notSent: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			before := refusing.read.Load()
+			before := closing.requests.Load()
 			for _, method := range []string{http.MethodPost, http.MethodGet} {
 				r := dispatch.Request{Method: method, Path: "/", Body: []byte("order"), SendBy: test.sendBy}
 				_, err := NewPlain().Call(test.ctx, membership.Endpoint{Address: test.address}, r)
@@ -115,22 +116,22 @@
 					t.Errorf("%s: error %v, want one that says not sent: %t", method, err, test.notSent)
 				}
 			}
-			if n := refusing.read.Load() - before; n != 2*test.read {
+			if n := closing.requests.Load() - before; n != 2*test.read {
 				t.Errorf("two calls were read %d times, want %d", n, 2*test.read)
 			}
 		})
 	}
 }
 
-// TestGuardRefusesAfterEnd lets the transport write after the call was reported as not sent.
-func TestGuardRefusesAfterEnd(t *testing.T) {
+// TestNoWriteAfterClose checks that the transport cannot write after the call was reported as not sent.
+func TestNoWriteAfterClose(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
-	g := &guard{}
-	conn := &guardedConn{Conn: near, guard: g}
-	if g.end() {
+	g := &sendOnce{}
+	conn := &sendOnceConn{Conn: near, once: g}
+	if g.close() {
 		t.Error("a call without a byte is reported as sent")
 	}
 	if _, err := conn.Write([]byte("order")); err == nil {
--- a/endpoint/transport.go
+++ b/endpoint/transport.go
@@ -13,7 +13,7 @@
 	maxIdlePerAddress = 64
 )
 
-// newTransport returns a transport; with keepAlive false each request has a connection of its own.
+// newTransport returns a transport; without keepAlive each request has its own connection.
 func newTransport(keepAlive bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Transport{
--- a/exchange/connection.go
+++ b/exchange/connection.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// userTimeout is how long sent bytes may stay unacknowledged before the connection counts as dead.
+	// userTimeout is how long sent data may stay unacknowledged before the connection is considered dead.
 	userTimeout = 3 * time.Second
-	// probeIdle, probeInterval and probeCount find a silent peer within about two seconds.
+	// probeIdle, probeInterval and probeCount detect an unresponsive peer within about two seconds.
 	probeIdle     = time.Second
 	probeInterval = 500 * time.Millisecond
 	probeCount    = 3
 	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of tcp(7).
-	tcpUserTimeout = 0x12
-	readBuffer     = 4 << 10
+	tcpUserTimeout  = 0x12
+	readBufferBytes = 4 << 10
 )
 
-// connection is one connection to an endpoint; it carries one request at a time.
+// connection is a connection to an endpoint; it carries one request at a time.
 type connection struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// served is the number of requests that it has carried before.
-	served int
-	// idleSince is when its last answer ended, and idleLimit how long the endpoint keeps it open from then on.
+	// requestCount is the number of requests completed on the connection.
+	requestCount int
+	// idleSince is when the last response ended; idleLimit is how long the endpoint keeps the connection open from then
+	// on.
 	idleSince time.Time
 	idleLimit time.Duration
 }
@@ -51,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBuffer)}, nil
+	return &connection{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
 }
 
-// quiet reports whether a kept connection is open and has nothing to read; bytes that wait belong to no request.
-func (c *connection) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread data; such data would belong to no request.
+func (c *connection) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -67,12 +68,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		noData = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,7 +1,8 @@
-// Package exchange sends a request to an endpoint over HTTP/1.1 and tells what became of it.
+// Package exchange sends requests to endpoints over HTTP/1.1 and reports the outcome of each.
 //
-// Each failure says whether the request was surely not run or may have run; nothing is ever sent twice. The package
-// keeps its own connections, since whether bytes of a request left, and whether an answer on a kept connection belongs
-// to it, cannot be learned from net/http's Transport, which also sends some requests again. Messages are read and
-// written by net/http's codecs. An answer is matched by the identifier that the endpoint echoes, never by its order.
+// Each failure states whether the request certainly did not run or may have run; no request is ever sent twice. The
+// package manages its own connections: net/http's Transport does not reveal whether bytes of a request were sent, nor
+// whether a response on a reused connection belongs to the request, and it sends some requests again by itself.
+// Messages are encoded and decoded by net/http. A response is matched to its request by the identifier that the
+// endpoint echoes, never by its order.
 package exchange
--- a/exchange/errors.go
+++ b/exchange/errors.go
@@ -18,13 +18,13 @@
 	Reading    Stage = "reading"
 )
 
-// Error is a failed exchange.
+// Error reports a failed exchange.
 type Error struct {
 	Address string
 	Stage   Stage
-	// Outcome is NotRun only if no whole header of the request can have reached the endpoint.
+	// Outcome is NotRun only if the endpoint cannot have received the complete header of the request.
 	Outcome problem.Outcome
-	// Kept says that the connection had carried another request before.
+	// Kept reports that the connection had carried another request before.
 	Kept  bool
 	Cause error
 }
@@ -37,7 +37,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Outcome returns what is known of a request after err; nil and foreign errors are unknown outcomes.
+// Outcome returns the outcome of the request that failed with err. It is problem.Unknown for nil and for errors of
+// other types.
 func Outcome(err error) problem.Outcome {
 	var failed *Error
 	if errors.As(err, &failed) {
@@ -46,12 +47,12 @@
 	return problem.Unknown
 }
 
-// ForeignAnswersError says that only answers to other requests came.
+// ForeignAnswersError reports that only responses to other requests arrived.
 type ForeignAnswersError struct {
 	Answers int
 }
 
-// Error tells the number of answers.
+// Error names the number of responses.
 func (e *ForeignAnswersError) Error() string {
-	return fmt.Sprintf("%d answers belonged to other requests", e.Answers)
+	return fmt.Sprintf("%d responses belonged to other requests", e.Answers)
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -7,75 +7,76 @@
 	"time"
 )
 
-// Idle bounds how long a kept connection may have been idle before it is used again.
+// Idle limits how long a connection may have been idle before it is reused.
 type Idle struct {
-	// Repeatable bounds it for requests that may run again if the endpoint closed the connection meanwhile.
+	// Repeatable applies to requests that may run again if the endpoint has closed the connection meanwhile.
 	Repeatable time.Duration
-	// Once bounds it for requests that may not.
+	// Once applies to requests that may not run again.
 	Once time.Duration
 }
 
-// Pool holds the kept connections to endpoints; it is safe for concurrent use.
+// Pool holds idle connections to endpoints. It is safe for concurrent use.
 type Pool struct {
-	idle Idle
-	// connectTime bounds one attempt to connect.
-	connectTime time.Duration
-	now         func() time.Time
+	idleLimits Idle
+	// connectTimeout limits one attempt to connect.
+	connectTimeout time.Duration
+	now            func() time.Time
 
-	mu     sync.Mutex
-	kept   map[string][]*connection
-	closed bool
-	opened atomic.Int64
+	mu        sync.Mutex
+	idleConns map[string][]*connection
+	closed    bool
+	opened    atomic.Int64
 }
 
-// NewPool returns an empty pool whose attempts to connect end after connectTime.
-func NewPool(idle Idle, connectTime time.Duration, now func() time.Time) *Pool {
-	return &Pool{idle: idle, connectTime: connectTime, now: now, kept: map[string][]*connection{}}
+// NewPool returns an empty pool. An attempt to connect fails after connectTimeout.
+func NewPool(idle Idle, connectTimeout time.Duration, now func() time.Time) *Pool {
+	return &Pool{idleLimits: idle, connectTimeout: connectTimeout, now: now, idleConns: map[string][]*connection{}}
 }
 
-// Opened returns the number of connections that were opened.
+// Opened returns the number of connections opened so far, including failed attempts.
 func (p *Pool) Opened() int64 { return p.opened.Load() }
 
-// take returns a kept connection that is surely open, or nil. The one used last is the least likely to be closed.
-func (p *Pool) take(address string, repeatable bool) *connection {
-	limit := p.idle.Once
+// getIdle returns an idle connection that is still open, or nil. It takes the most recently used one, which the
+// endpoint is least likely to have closed.
+func (p *Pool) getIdle(address string, repeatable bool) *connection {
+	limit := p.idleLimits.Once
 	if repeatable {
-		limit = p.idle.Repeatable
+		limit = p.idleLimits.Repeatable
 	}
 	for {
 		p.mu.Lock()
-		kept := p.kept[address]
-		if len(kept) == 0 {
+		conns := p.idleConns[address]
+		if len(conns) == 0 {
 			p.mu.Unlock()
 			return nil
 		}
-		c := kept[len(kept)-1]
+		c := conns[len(conns)-1]
 		idle := p.now().Sub(c.idleSince)
-		if idle > limit && idle <= p.idle.Repeatable {
+		if idle > limit && idle <= p.idleLimits.Repeatable {
 			p.mu.Unlock()
 			return nil
 		}
-		p.kept[address] = kept[:len(kept)-1]
+		p.idleConns[address] = conns[:len(conns)-1]
 		p.mu.Unlock()
-		if idle <= min(limit, c.idleLimit) && c.quiet() {
+		if idle <= min(limit, c.idleLimit) && c.reusable() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// connect returns a connection to an address, kept or new.
-func (p *Pool) connect(ctx context.Context, address string, repeatable bool) (*connection, error) {
-	if c := p.take(address, repeatable); c != nil {
+// getConn returns an idle connection to the address, or opens one.
+func (p *Pool) getConn(ctx context.Context, address string, repeatable bool) (*connection, error) {
+	if c := p.getIdle(address, repeatable); c != nil {
 		return c, nil
 	}
 	p.opened.Add(1)
-	return dial(ctx, address, p.connectTime)
+	return dial(ctx, address, p.connectTimeout)
 }
 
-// give keeps a connection for a later request.
-func (p *Pool) give(c *connection) {
-	c.served++
+// putIdle adds a connection to the idle ones, for a later request.
+func (p *Pool) putIdle(c *connection) {
+	c.requestCount++
 	c.idleSince = p.now()
 	if c.SetDeadline(time.Time{}) != nil {
 		_ = c.Close()
@@ -87,49 +88,49 @@
 		_ = c.Close()
 		return
 	}
-	p.kept[c.address] = append(p.kept[c.address], c)
+	p.idleConns[c.address] = append(p.idleConns[c.address], c)
 }
 
-// Trim closes connections that have been idle for too long.
+// Trim closes the connections that have been idle for longer than their limit.
 func (p *Pool) Trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	for address, kept := range p.kept {
+	for address, conns := range p.idleConns {
 		var left []*connection
-		for _, c := range kept {
-			if now.Sub(c.idleSince) > min(p.idle.Repeatable, c.idleLimit) {
+		for _, c := range conns {
+			if now.Sub(c.idleSince) > min(p.idleLimits.Repeatable, c.idleLimit) {
 				_ = c.Close()
 				continue
 			}
 			left = append(left, c)
 		}
-		p.kept[address] = left
+		p.idleConns[address] = left
 		if len(left) == 0 {
-			delete(p.kept, address)
+			delete(p.idleConns, address)
 		}
 	}
 }
 
-// Drop closes the kept connections to an address, whose endpoint is gone.
+// Drop closes the idle connections to the address of an endpoint that is gone.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.kept[address] {
+	for _, c := range p.idleConns[address] {
 		_ = c.Close()
 	}
-	delete(p.kept, address)
+	delete(p.idleConns, address)
 }
 
-// Close closes all kept connections and keeps none from then on.
+// Close closes all idle connections; connections in use are closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, kept := range p.kept {
-		for _, c := range kept {
+	for _, conns := range p.idleConns {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 	}
-	p.kept = map[string][]*connection{}
+	p.idleConns = map[string][]*connection{}
 }
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -13,8 +13,8 @@
 	"arbutusreel/problem"
 )
 
-// silentAddress returns an address at which opening packets are dropped: its queue of new connections is full.
-func silentAddress(t *testing.T) string {
+// unresponsiveAddress returns an address at which SYN packets are dropped because the accept queue is full.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -33,7 +33,7 @@
 		t.Fatalf("address %T", name)
 	}
 	address := netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String()
-	// A queue of length zero still takes one connection.
+	// An accept queue of length zero still holds one connection.
 	d := net.Dialer{Timeout: 100 * time.Millisecond}
 	for range 4 {
 		c, err := d.DialContext(t.Context(), "tcp", address)
@@ -42,17 +42,17 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the queue of new connections does not fill")
+	t.Fatal("the accept queue does not fill")
 	return ""
 }
 
-// TestConnectTime sends a request to an address that does not answer: the attempt ends by itself, and the request has
-// surely not run.
-func TestConnectTime(t *testing.T) {
+// TestConnectTimeout checks that a request to an address that does not respond fails after the connect timeout, and
+// that its outcome is NotRun.
+func TestConnectTimeout(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	p := NewPool(Idle{}, 20*time.Millisecond, time.Now)
-	_, err := p.Send(ctx, silentAddress(t), &Request{Method: http.MethodPost, Target: "/", Host: "host.example", Header: http.Header{}})
+	_, err := p.Send(ctx, unresponsiveAddress(t), &Request{Method: http.MethodPost, Target: "/", Host: "host.example", Header: http.Header{}})
 	var failure *Error
 	if !errors.As(err, &failure) || failure.Stage != Connecting || failure.Outcome != problem.NotRun || ctx.Err() != nil {
 		t.Errorf("error %v", err)
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -14,54 +14,58 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is awaited; it fits into a socket's buffers.
-	inlineBody = 8 << 10
-	// maxForeignAnswers is the number of answers to other requests that are passed over on one connection.
-	maxForeignAnswers = 4
-	// defaultIdleLimit is how long a connection is kept whose endpoint names no limit.
+	// maxInlineBody is the largest body, in bytes, that is written before the response is read; it fits into the socket
+	// buffers.
+	maxInlineBody = 8 << 10
+	// maxUnmatchedResponses is the number of responses to other requests that are skipped on one connection.
+	maxUnmatchedResponses = 4
+	// defaultIdleLimit is how long a connection is kept if the endpoint announces no idle limit.
 	defaultIdleLimit = 4 * time.Second
-	// idleShare is the part of a named idle limit that is used, as the endpoint counts from an earlier moment.
-	idleShare = 0.7
+	// idleLimitFraction is the fraction of the announced idle limit that is used, because the endpoint starts to count
+	// earlier.
+	idleLimitFraction = 0.7
 )
 
-// Request is a request with its whole body.
+// Request is an HTTP request with its complete body.
 type Request struct {
 	Method string
-	// Target is the request target as the caller wrote it, which is never rewritten.
+	// Target is the request target as the caller sent it; it is never rewritten.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Repeatable says that the request may run again, so that a connection may be reused for longer.
+	// Repeatable reports that the request may run again, so that a connection that has been idle for longer may be
+	// reused.
 	Repeatable bool
-	// Owns reports whether an answer belongs to this request; fresh says that the connection carried no other one.
+	// Owns reports whether a response belongs to this request; fresh means that the connection has carried no other
+	// request.
 	Owns func(a *http.Response, fresh bool) bool
 }
 
-// Answer is an answer whose header has arrived.
+// Answer is a response whose header has arrived.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Fresh says that the connection was opened for this request.
+	// Fresh reports that the connection was opened for this request.
 	Fresh bool
 
-	body    io.ReadCloser
-	conn    *connection
-	pool    *Pool
-	stop    func() bool
-	written <-chan error
-	keep    bool
-	ended   bool
+	body      io.ReadCloser
+	conn      *connection
+	pool      *Pool
+	stop      func() bool
+	written   <-chan error
+	keepAlive bool
+	done      bool
 }
 
-// head returns the request line and the header.
+// head returns the encoded request line and header.
 func (r *Request) head() []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	// A header whose values hold line breaks cannot come from a parsed request; Write replaces them all the same.
+	// Header values of a parsed request contain no line breaks; Write would replace them anyway.
 	if err := r.Header.Write(&b); err != nil {
 		return nil
 	}
@@ -69,13 +73,14 @@
 	return b.Bytes()
 }
 
-// Send sends the request to an address and returns its answer, whose body is read with Read. A failure is an *Error.
+// Send sends the request to the address and returns its response once the header has arrived; the body is read with
+// Answer.Read. A failure is of type *Error.
 func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Answer, error) {
-	c, err := p.connect(ctx, address, r.Repeatable)
+	c, err := p.getConn(ctx, address, r.Repeatable)
 	if err != nil {
 		return nil, &Error{Address: address, Stage: Connecting, Outcome: problem.NotRun, Cause: err}
 	}
-	kept := c.served > 0
+	reused := c.requestCount > 0
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	fail := func(stage Stage, outcome problem.Outcome, err error) error {
 		stop()
@@ -83,7 +88,7 @@
 		if ctx.Err() != nil {
 			err = errors.Join(ctx.Err(), err)
 		}
-		return &Error{Address: address, Stage: stage, Outcome: outcome, Kept: kept, Cause: err}
+		return &Error{Address: address, Stage: stage, Outcome: outcome, Kept: reused, Cause: err}
 	}
 	head := r.head()
 	written, n, err := write(c, head, r.Body)
@@ -94,20 +99,21 @@
 		}
 		return nil, fail(Writing, outcome, err)
 	}
-	response, err := await(c, r, !kept) //nolint:bodyclose // Answer.Close closes the connection, and with it the body.
+	response, err := readResponse(c, r, !reused) //nolint:bodyclose // Answer.Close closes the connection, and with it the body.
 	if err != nil {
 		return nil, fail(Awaiting, problem.Unknown, err)
 	}
 	return &Answer{
-		Status: response.StatusCode, Header: response.Header, Fresh: !kept, body: response.Body,
-		conn: c, pool: p, stop: stop, written: written, keep: !response.Close && response.ProtoAtLeast(1, 1),
+		Status: response.StatusCode, Header: response.Header, Fresh: !reused, body: response.Body,
+		conn: c, pool: p, stop: stop, written: written, keepAlive: !response.Close && response.ProtoAtLeast(1, 1),
 	}, nil
 }
 
-// write sends the header and the body; a long body is sent while the answer is awaited, and its end told by the channel.
+// write sends the header and the body. A body of more than maxInlineBody bytes is sent in the background while the
+// response is awaited. The channel receives the result once the body has been written.
 func write(c *connection, head, body []byte) (written <-chan error, n int, err error) {
 	done := make(chan error, 1)
-	if len(body) <= inlineBody {
+	if len(body) <= maxInlineBody {
 		n, err = c.Write(append(head, body...))
 		done <- err
 		return done, n, err
@@ -122,11 +128,12 @@
 	return done, n, nil
 }
 
-// await reads the header of the answer that belongs to the request.
-func await(c *connection, r *Request, fresh bool) (*http.Response, error) {
-	asked := &http.Request{Method: r.Method}
-	for foreign := 0; foreign <= maxForeignAnswers; {
-		response, err := http.ReadResponse(c.reader, asked)
+// readResponse reads the header of the response that belongs to the request; it skips informational responses and up to
+// maxUnmatchedResponses responses to other requests.
+func readResponse(c *connection, r *Request, fresh bool) (*http.Response, error) {
+	request := &http.Request{Method: r.Method}
+	for unmatched := 0; unmatched <= maxUnmatchedResponses; {
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -136,61 +143,62 @@
 		if response.StatusCode != http.StatusSwitchingProtocols && r.Owns(response, fresh) {
 			return response, nil
 		}
-		foreign++
+		unmatched++
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-			return nil, &ForeignAnswersError{Answers: foreign}
+			return nil, &ForeignAnswersError{Answers: unmatched}
 		}
 	}
-	return nil, &ForeignAnswersError{Answers: maxForeignAnswers}
+	return nil, &ForeignAnswersError{Answers: maxUnmatchedResponses}
 }
 
-// Read reads the body; it returns io.EOF only at the end of a whole answer.
+// Read reads the body; it returns io.EOF only at the end of a complete response.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.finish()
+		a.release()
 	}
 	return n, err
 }
 
-// finish keeps the connection if the exchange left it clean.
-func (a *Answer) finish() {
-	if a.ended {
+// release returns the connection to the pool if the exchange left it in a reusable state, and closes it otherwise.
+func (a *Answer) release() {
+	if a.done {
 		return
 	}
-	a.ended = true
-	clean := a.stop() && a.keep && a.conn.reader.Buffered() == 0
+	a.done = true
+	reusable := a.stop() && a.keepAlive && a.conn.reader.Buffered() == 0
 	select {
 	case err := <-a.written:
-		clean = clean && err == nil
+		reusable = reusable && err == nil
 	default:
-		clean = false
+		reusable = false
 	}
-	if !clean {
+	if !reusable {
 		_ = a.conn.Close()
 		return
 	}
 	a.conn.idleLimit = idleLimit(a.Header)
-	a.pool.give(a.conn)
+	a.pool.putIdle(a.conn)
 }
 
-// Close ends the exchange; an answer that was not read whole takes its connection along, which stops the endpoint's work.
+// Close ends the exchange. If the response was not read to its end, it closes the connection, which makes the endpoint
+// stop its work.
 func (a *Answer) Close() {
-	if a.ended {
+	if a.done {
 		return
 	}
-	a.ended = true
+	a.done = true
 	a.stop()
 	_ = a.conn.Close()
 }
 
-// idleLimit returns how long the endpoint keeps an idle connection, by its Keep-Alive header.
+// idleLimit returns how long an idle connection may be kept, according to the Keep-Alive header of the response.
 func idleLimit(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
 		if ok && strings.EqualFold(name, "timeout") && err == nil {
-			return time.Duration(float64(seconds) * idleShare * float64(time.Second))
+			return time.Duration(float64(seconds) * idleLimitFraction * float64(time.Second))
 		}
 	}
 	return defaultIdleLimit
--- a/operator/guard.go
+++ b/operator/authorization.go
@@ -15,22 +15,22 @@
 	"arbutusreel/wiregen"
 )
 
-// Guard serves operators' requests that bear the operators' token.
+// Guard serves requests that carry the operators' token.
 type Guard struct {
 	digest   string
 	maxBytes int64
 }
 
-// NewGuard returns a guard for the token with the SHA-256 digest, in lower-case hexadecimal, that reads at most maxBytes
-// of a body. An empty digest refuses every request.
+// NewGuard returns a guard that accepts the token with the given SHA-256 digest, in lower-case hexadecimal, and reads
+// at most maxBytes of a request body. With an empty digest it refuses every request.
 func NewGuard(digest string, maxBytes int64) Guard {
 	return Guard{digest: digest, maxBytes: maxBytes}
 }
 
-// Handle answers with the message that answer returns as JSON, or with its failure as a problem.
-func (g Guard) Handle(answer func(*http.Request) (proto.Message, error)) http.HandlerFunc {
+// Handle returns an HTTP handler that writes the message returned by handler as JSON, or its error as a problem.
+func (g Guard) Handle(handler func(*http.Request) (proto.Message, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		b, err := g.answer(w, r, answer)
+		b, err := g.serve(w, r, handler)
 		if err != nil {
 			problem.Write(w, problem.From(err), "")
 			return
@@ -40,19 +40,19 @@
 	}
 }
 
-func (g Guard) answer(w http.ResponseWriter, r *http.Request, answer func(*http.Request) (proto.Message, error)) ([]byte, error) {
+func (g Guard) serve(w http.ResponseWriter, r *http.Request, handler func(*http.Request) (proto.Message, error)) ([]byte, error) {
 	if err := authorize(r, g.digest); err != nil {
 		return nil, err
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, g.maxBytes)
-	reply, err := answer(r)
+	reply, err := handler(r)
 	if err != nil {
 		return nil, err
 	}
 	return wire.EncodeJSON(reply)
 }
 
-// authorize returns a *problem.Problem unless the request bears the token with the digest.
+// authorize returns a *problem.Problem unless the request carries the token with the digest.
 func authorize(r *http.Request, digest string) error {
 	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	got := sha256.Sum256([]byte(token))
@@ -62,10 +62,10 @@
 	return nil
 }
 
-// DecisionsRoute is the route at which an instance serves the decisions that it keeps.
+// DecisionsRoute is the route at which an instance serves its recorded decisions.
 const DecisionsRoute = "GET /v1/decisions/{kind}/{name}"
 
-// Decisions answers DecisionsRoute with the lines that store keeps; a nil store keeps none.
+// Decisions returns a handler for DecisionsRoute that answers with the lines recorded in store; a nil store has none.
 func Decisions(store *decision.Store) func(*http.Request) (proto.Message, error) {
 	return func(r *http.Request) (proto.Message, error) {
 		reply := &wiregen.DecisionsReply{}
--- a/operator/client.go
+++ b/operator/client.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// attemptTimeout bounds the wait for one voter, which may be cut off.
+	// attemptTimeout limits the wait for one voter, which may be partitioned.
 	attemptTimeout = 1500 * time.Millisecond
-	// roundPause is the time between two rounds over all voters.
-	roundPause = 200 * time.Millisecond
+	// retryInterval is the pause between two rounds of attempts over all voters.
+	retryInterval = 200 * time.Millisecond
 )
 
-// Client asks one control voter after another until one answers.
+// Client sends requests to the control voters, one after another, until one answers.
 type Client struct {
 	controls []string
 	token    string
@@ -40,28 +40,27 @@
 	return &Client{controls: controls, token: token, client: client, scheme: "http"}
 }
 
-// WithTLS returns a client that speaks TLS by the configuration.
+// WithTLS returns a copy of the client that uses TLS with the configuration.
 func (c *Client) WithTLS(cfg *tls.Config) *Client {
-	with := *c
-	with.client = &http.Client{Transport: &http.Transport{TLSClientConfig: cfg}}
-	with.scheme = "https"
-	return &with
+	tlsClient := *c
+	tlsClient.client = &http.Client{Transport: &http.Transport{TLSClientConfig: cfg}}
+	tlsClient.scheme = "https"
+	return &tlsClient
 }
 
-// Apply proposes another inventory. A refusal returns *problem.Problem; if no voter
-// decided before ctx ended it returns *UndecidedError when the change may have
-// been accepted, and *UnreachableError when it was not. The change id makes it
-// safe to send again.
+// Apply proposes a new inventory. A refusal returns *problem.Problem. If no voter decided before ctx ended, Apply
+// returns *UndecidedError if the change may have been accepted, and *UnreachableError if it was not. The change id
+// makes it safe to send the request again.
 func (c *Client) Apply(ctx context.Context, m *wiregen.ApplyRequest) (*wiregen.ApplyReply, error) {
-	return c.change(ctx, "/v1/inventory", m.GetChangeId(), m)
+	return c.proposeChange(ctx, "/v1/inventory", m.GetChangeId(), m)
 }
 
-// Patch proposes a change of parts of the inventory; its failures are those of Apply.
+// Patch proposes a change to parts of the inventory; its errors are those of Apply.
 func (c *Client) Patch(ctx context.Context, m *wiregen.PatchRequest) (*wiregen.ApplyReply, error) {
-	return c.change(ctx, "/v1/patch", m.GetChangeId(), m)
+	return c.proposeChange(ctx, "/v1/patch", m.GetChangeId(), m)
 }
 
-func (c *Client) change(ctx context.Context, path, changeID string, m proto.Message) (*wiregen.ApplyReply, error) {
+func (c *Client) proposeChange(ctx context.Context, path, changeID string, m proto.Message) (*wiregen.ApplyReply, error) {
 	reply := &wiregen.ApplyReply{}
 	err := c.do(ctx, http.MethodPost, path, m, reply)
 	var undecided *UndecidedError
@@ -83,7 +82,7 @@
 	return reply, c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/inventory?revision=%d", revision), nil, reply)
 }
 
-// History returns the newest accepted changes, at most count, the newest first.
+// History returns at most count accepted changes, newest first.
 func (c *Client) History(ctx context.Context, count int) (*wiregen.HistoryReply, error) {
 	reply := &wiregen.HistoryReply{}
 	return reply, c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/history?count=%d", count), nil, reply)
@@ -95,13 +94,13 @@
 	return reply, c.do(ctx, http.MethodGet, "/v1/members", nil, reply)
 }
 
-// AddMember adds a control daemon to the quorum; one that is a member already is a success.
+// AddMember adds a control daemon to the quorum. It succeeds if the daemon is a member already.
 func (c *Client) AddMember(ctx context.Context, name, address string) (*wiregen.MembersReply, error) {
 	reply := &wiregen.MembersReply{}
 	return reply, c.do(ctx, http.MethodPost, "/v1/members/add", &wiregen.AddMemberRequest{Name: name, Address: address}, reply)
 }
 
-// RemoveMember removes the present member of the name from the quorum, but not one that took its place in the meantime.
+// RemoveMember removes the current member of that name from the quorum, but not one that replaces it in the meantime.
 func (c *Client) RemoveMember(ctx context.Context, name string) (*wiregen.MembersReply, error) {
 	members, err := c.Members(ctx)
 	if err != nil {
@@ -117,32 +116,32 @@
 	return reply, c.do(ctx, http.MethodPost, "/v1/members/remove", m, reply)
 }
 
-// Status returns the leader and the revision in force at each instance, from the leader if it answers.
+// Status returns the leader and the revision in force at each instance. It prefers the answer of the leader.
 func (c *Client) Status(ctx context.Context) (*wiregen.StatusReply, error) {
-	var other *wiregen.StatusReply
-	var last error
+	var fallback *wiregen.StatusReply
+	var lastErr error
 	for _, address := range c.controls {
 		reply := &wiregen.StatusReply{}
-		b, err := c.attempt(ctx, address, http.MethodGet, "/v1/status", nil)
+		b, err := c.sendWithTimeout(ctx, address, http.MethodGet, "/v1/status", nil)
 		if err == nil {
 			err = wire.DecodeJSON(b, reply)
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if reply.GetCurrent() {
 			return reply, nil
 		}
-		other = reply
+		fallback = reply
 	}
-	if other == nil {
-		return nil, &UnreachableError{Controls: c.controls, Cause: last}
+	if fallback == nil {
+		return nil, &UnreachableError{Controls: c.controls, Cause: lastErr}
 	}
-	return other, nil
+	return fallback, nil
 }
 
-// do sends a request to the voters in turn, round after round, until one decides or ctx ends.
+// do sends a request to the voters in turn, in repeated rounds, until one decides or ctx ends.
 func (c *Client) do(ctx context.Context, method, path string, m, reply proto.Message) error {
 	var body []byte
 	if m != nil {
@@ -153,35 +152,35 @@
 	}
 	undecided := false
 	for {
-		var last error
+		var lastErr error
 		for _, address := range c.controls {
-			b, err := c.attempt(ctx, address, method, path, body)
+			b, err := c.sendWithTimeout(ctx, address, method, path, body)
 			if err == nil {
 				return wire.DecodeJSON(b, reply)
 			}
 			var p *problem.Problem
-			if errors.As(err, &p) && !passing(p.Code) {
+			if errors.As(err, &p) && !isTransient(p.Code) {
 				return p
 			}
 			undecided = undecided || method == http.MethodPost && mayHaveRun(err)
-			last = err
+			lastErr = err
 		}
-		if pause(ctx, roundPause) {
+		if pause(ctx, retryInterval) {
 			continue
 		}
 		if undecided {
-			return &UndecidedError{Cause: last}
+			return &UndecidedError{Cause: lastErr}
 		}
-		return &UnreachableError{Controls: c.controls, Cause: last}
+		return &UnreachableError{Controls: c.controls, Cause: lastErr}
 	}
 }
 
-// passing reports whether another voter, or the same one later, may answer otherwise.
-func passing(code problem.Code) bool {
+// isTransient reports whether another voter, or the same one later, may answer differently.
+func isTransient(code problem.Code) bool {
 	return code == problem.QuorumUnavailable || code == problem.ChangeUnknown || code == problem.ChangePending
 }
 
-// mayHaveRun reports whether a voter may have taken the request although it did not answer.
+// mayHaveRun reports whether a voter may have received the request although it did not answer.
 func mayHaveRun(err error) bool {
 	var p *problem.Problem
 	if errors.As(err, &p) {
@@ -191,7 +190,7 @@
 	return !errors.As(err, &dial) || dial.Op != "dial"
 }
 
-// pause waits and reports whether there is time for another round.
+// pause waits for d and reports whether there is time for another attempt.
 func pause(ctx context.Context, d time.Duration) bool {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= d {
 		return false
@@ -199,15 +198,15 @@
 	return clock.Sleep(ctx, d)
 }
 
-// attempt asks one voter, for no longer than a part of the whole wait.
-func (c *Client) attempt(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
+// sendWithTimeout sends a request to one voter and waits at most attemptTimeout for the answer.
+func (c *Client) sendWithTimeout(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return c.ask(ctx, address, method, path, body)
+	return c.send(ctx, address, method, path, body)
 }
 
-// ask returns the answer of one voter.
-func (c *Client) ask(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
+// send sends a request to one voter and returns the body of its answer.
+func (c *Client) send(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator holds both sides of what operators ask of instances: the client of their commands, and the guard that
-// control voters and entries serve their requests with.
+// Package operator contains both sides of operators' requests to instances: the client that operators' commands use,
+// and the authorization with which control voters and entries serve the requests.
 package operator
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// UnreachableError says that no control voter answered.
+// UnreachableError reports that no control voter answered.
 type UnreachableError struct {
 	Controls []string
 	Cause    error
@@ -16,7 +16,7 @@
 // Unwrap returns the last cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// UndecidedError says that a change may or may not have been accepted.
+// UndecidedError reports that it is unknown whether a change was accepted.
 type UndecidedError struct {
 	ChangeID string
 	Cause    error
@@ -30,10 +30,10 @@
 // Unwrap returns the last cause.
 func (e *UndecidedError) Unwrap() error { return e.Cause }
 
-// NotInForceError says that a revision is accepted but was not seen in force at every live instance in time.
+// NotInForceError reports that an accepted revision was not seen in force at every live instance in time.
 type NotInForceError struct {
 	Revision int64
-	// Lagging are the instances that reported a lower revision.
+	// Lagging lists the instances that reported a lower revision.
 	Lagging []string
 	Cause   error
 }
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -12,13 +12,13 @@
 	"arbutusreel/wiregen"
 )
 
-// decisionsTimeout bounds the question to one instance, so that a silent one does not hold up the others.
+// decisionsTimeout limits the request to one instance, so that an unresponsive one does not delay the others.
 const decisionsTimeout = 2 * time.Second
 
-// Story is what the instances tell of a subject.
+// Story contains the decisions that instances recorded about a subject.
 type Story struct {
 	Lines []string
-	// Silent are the addresses that gave no answer.
+	// Silent lists the addresses that gave no answer.
 	Silent []string
 }
 
@@ -28,31 +28,32 @@
 	return reply, c.do(ctx, http.MethodGet, "/v1/entries", nil, reply)
 }
 
-// Explain asks the control voters and the entries at the addresses, all at once, and merges what they tell.
+// Explain requests the decisions about a subject from the control voters and from the entries at the addresses, all
+// concurrently, and merges the answers.
 func (c *Client) Explain(ctx context.Context, subject decision.Subject, entries []string) Story {
 	addresses := append(append([]string(nil), c.controls...), entries...)
-	stories := make([][]string, len(addresses))
-	failures := make([]error, len(addresses))
+	lines := make([][]string, len(addresses))
+	errs := make([]error, len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
-		wg.Go(func() { stories[i], failures[i] = c.decisions(ctx, address, subject) })
+		wg.Go(func() { lines[i], errs[i] = c.fetchDecisions(ctx, address, subject) })
 	}
 	wg.Wait()
-	story := Story{Lines: decision.Merge(stories...)}
-	for i, err := range failures {
+	explanation := Story{Lines: decision.Merge(lines...)}
+	for i, err := range errs {
 		if err != nil {
-			story.Silent = append(story.Silent, addresses[i])
+			explanation.Silent = append(explanation.Silent, addresses[i])
 		}
 	}
-	return story
+	return explanation
 }
 
-// decisions returns the lines that one instance keeps.
-func (c *Client) decisions(ctx context.Context, address string, subject decision.Subject) ([]string, error) {
+// fetchDecisions returns the lines that one instance has recorded about the subject.
+func (c *Client) fetchDecisions(ctx context.Context, address string, subject decision.Subject) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, decisionsTimeout)
 	defer cancel()
 	path := "/v1/decisions/" + string(subject.Kind) + "/" + url.PathEscape(subject.Name)
-	b, err := c.ask(ctx, address, http.MethodGet, path, nil)
+	b, err := c.send(ctx, address, http.MethodGet, path, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/wire/difference.go
+++ b/wire/difference.go
@@ -13,74 +13,74 @@
 	"arbutusreel/inventory"
 )
 
-// Difference is one value that two messages of the same type do not share; an absent value is empty text.
+// Difference is a value that differs between two messages of the same type. An absent value is an empty string.
 type Difference struct {
-	// Path names the value as in teams[lahore-club].weight: items of a list go by their name.
+	// Path locates the value, as in teams[lahore-club].weight; items of a list are identified by their names.
 	Path   string
 	Before string
 	After  string
 }
 
-// Differences returns what differs between two messages of the same type, in the order of the schema. Items of a list
-// that have names are paired by name, so that their order does not count; an item that only one side has is one
-// difference. Other lists are compared whole.
+// Differences returns the differences between two messages of the same type, in the order of the schema. Items of a
+// list that have names are matched by name, regardless of their order; an item present on one side only is a single
+// difference. Other lists are compared as a whole.
 func Differences(before, after proto.Message) []Difference {
 	c := &comparison{}
-	c.messages("", before.ProtoReflect(), after.ProtoReflect())
-	return c.found
+	c.compareMessages("", before.ProtoReflect(), after.ProtoReflect())
+	return c.differences
 }
 
-// comparison gathers the differences of two messages.
+// comparison collects the differences between two messages.
 type comparison struct {
-	found []Difference
+	differences []Difference
 }
 
-func (c *comparison) messages(path string, before, after protoreflect.Message) {
+func (c *comparison) compareMessages(path string, before, after protoreflect.Message) {
 	fields := before.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
-		c.values(join(path, field.JSONName()), field, before, after)
+		c.compareFields(joinPath(path, field.JSONName()), field, before, after)
 	}
 }
 
-func (c *comparison) values(path string, field protoreflect.FieldDescriptor, before, after protoreflect.Message) {
+func (c *comparison) compareFields(path string, field protoreflect.FieldDescriptor, before, after protoreflect.Message) {
 	b, a := before.Get(field), after.Get(field)
 	switch {
 	case field.IsList() && field.Message() != nil:
-		c.lists(path, b.List(), a.List())
+		c.compareLists(path, b.List(), a.List())
 	case field.Message() != nil:
-		c.messages(path, b.Message(), a.Message())
+		c.compareMessages(path, b.Message(), a.Message())
 	default:
-		c.add(path, scalarText(field, before), scalarText(field, after))
+		c.add(path, formatField(field, before), formatField(field, after))
 	}
 }
 
-// lists compares the items that have the same key, and notes those that only one list has.
-func (c *comparison) lists(path string, before, after protoreflect.List) {
-	old := itemsByKey(before)
-	kept := map[string]bool{}
+// compareLists compares the items with the same key and records those that only one list has.
+func (c *comparison) compareLists(path string, before, after protoreflect.List) {
+	beforeByKey := itemsByKey(before)
+	matched := map[string]bool{}
 	for i := range after.Len() {
 		item := after.Get(i).Message()
 		key := itemKey(item, i)
 		itemPath := fmt.Sprintf("%s[%s]", path, key)
-		if was, ok := old[key]; ok {
-			kept[key] = true
-			c.messages(itemPath, was, item)
+		if oldItem, ok := beforeByKey[key]; ok {
+			matched[key] = true
+			c.compareMessages(itemPath, oldItem, item)
 			continue
 		}
-		c.add(itemPath, "", messageText(item))
+		c.add(itemPath, "", formatMessage(item))
 	}
 	for i := range before.Len() {
 		item := before.Get(i).Message()
-		if key := itemKey(item, i); !kept[key] {
-			c.add(fmt.Sprintf("%s[%s]", path, key), messageText(item), "")
+		if key := itemKey(item, i); !matched[key] {
+			c.add(fmt.Sprintf("%s[%s]", path, key), formatMessage(item), "")
 		}
 	}
 }
 
 func (c *comparison) add(path, before, after string) {
 	if before != after {
-		c.found = append(c.found, Difference{Path: path, Before: before, After: after})
+		c.differences = append(c.differences, Difference{Path: path, Before: before, After: after})
 	}
 }
 
@@ -93,7 +93,7 @@
 	return items
 }
 
-// Fields by which the items of a list are known.
+// Fields that identify the items of a list.
 const (
 	nameField  = "name"
 	modelField = "model"
@@ -101,8 +101,8 @@
 	toField    = "to"
 )
 
-// itemKey returns the name of an item, with its model if it belongs to one, the ends of a link, or the position of an
-// item that has neither.
+// itemKey returns the name of an item, together with its model if it has one, the ends of a link, or else the position
+// of the item.
 func itemKey(item protoreflect.Message, position int) string {
 	fields := item.Descriptor().Fields()
 	name, model := fields.ByName(nameField), fields.ByName(modelField)
@@ -119,23 +119,23 @@
 	return fmt.Sprint(position)
 }
 
-// scalarText returns a field that holds no message as text; a value that is not set is empty text.
-func scalarText(field protoreflect.FieldDescriptor, m protoreflect.Message) string {
+// formatField returns a field that holds no message as text; an unset field is an empty string.
+func formatField(field protoreflect.FieldDescriptor, m protoreflect.Message) string {
 	if !m.Has(field) {
 		return ""
 	}
 	value := m.Get(field)
 	if !field.IsList() {
-		return oneText(field, value)
+		return formatScalar(field, value)
 	}
 	texts := make([]string, 0, value.List().Len())
 	for i := range value.List().Len() {
-		texts = append(texts, oneText(field, value.List().Get(i)))
+		texts = append(texts, formatScalar(field, value.List().Get(i)))
 	}
 	return strings.Join(texts, ",")
 }
 
-func oneText(field protoreflect.FieldDescriptor, value protoreflect.Value) string {
+func formatScalar(field protoreflect.FieldDescriptor, value protoreflect.Value) string {
 	if field.Kind() != protoreflect.EnumKind {
 		return value.String()
 	}
@@ -145,8 +145,8 @@
 	return fmt.Sprint(value.Enum())
 }
 
-// messageText returns a message as compact JSON.
-func messageText(m protoreflect.Message) string {
+// formatMessage returns a message as compact JSON.
+func formatMessage(m protoreflect.Message) string {
 	text := protojson.Format(m.Interface())
 	var b bytes.Buffer
 	if err := json.Compact(&b, []byte(text)); err != nil {
--- a/wire/difference_test.go
+++ b/wire/difference_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestDifferencesFindEveryChange draws teams and checks that two inventories have no differences just when they hold the
-// same teams.
+// TestDifferencesFindEveryChange draws teams and checks that two inventories have no differences if and only if they
+// hold the same teams.
 func TestDifferencesFindEveryChange(t *testing.T) {
 	team := rapid.Custom(func(t *rapid.T) *wiregen.Team {
 		return &wiregen.Team{
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire maps the domain's types to the messages of the schema, and reads operators' JSON.
+// Package wire converts between the domain types and the messages of the schema, and reads operators' JSON.
 //
-// A decoder returns a typed error and no value if the message is not valid.
+// A decoder that can fail returns a typed error and no value for an invalid message.
 package wire
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -9,10 +9,10 @@
 	"arbutusreel/wiregen"
 )
 
-// maxLoadAge is the greatest age of a load report.
+// maxLoadAge is the upper limit for the age of a load report; greater ages are reduced to it.
 const maxLoadAge = 24 * time.Hour
 
-// InvalidAnnouncementError says that an announcement lacks a field or holds a wrong one.
+// InvalidAnnouncementError reports that a field of an announcement is missing or invalid.
 type InvalidAnnouncementError struct {
 	Field  string
 	Reason string
@@ -23,7 +23,8 @@
 	return "announcement field " + e.Field + ": " + e.Reason
 }
 
-// DecodeAnnouncement returns the endpoint of m as heard now; a missing or wrong field returns *InvalidAnnouncementError.
+// DecodeAnnouncement returns the endpoint of an announcement received at the time now. A missing or invalid field
+// returns *InvalidAnnouncementError.
 func DecodeAnnouncement(now time.Time, m *wiregen.Announcement) (membership.Endpoint, error) {
 	if err := checkAnnouncement(m); err != nil {
 		return membership.Endpoint{}, err
@@ -50,7 +51,8 @@
 	}, nil
 }
 
-// DecodeRenewal returns the renewal of m as heard now; a wrong field returns *InvalidAnnouncementError.
+// DecodeRenewal returns the renewal in an announcement received at the time now. An invalid load report returns
+// *InvalidAnnouncementError.
 func DecodeRenewal(now time.Time, m *wiregen.Announcement) (membership.Renewal, error) {
 	if err := checkLoad(m.GetLoad()); err != nil {
 		return membership.Renewal{}, err
@@ -78,7 +80,7 @@
 		TokensPerSecond:        m.GetTokensPerSecond(),
 		PrefillTokensPerSecond: m.GetPrefillTokensPerSecond(),
 		CacheUse:               m.GetCacheUse(),
-		At:                     now.Add(-ageOf(m)),
+		At:                     now.Add(-loadAge(m)),
 	}
 }
 
@@ -103,7 +105,8 @@
 	return checkLoad(m.GetLoad())
 }
 
-// checkLoad refuses numbers that are negative or not finite, which would spoil the choice of endpoints.
+// checkLoad returns *InvalidAnnouncementError for numbers that are negative or not finite, which would distort the
+// choice of endpoints.
 func checkLoad(m *wiregen.LoadReport) error {
 	numbers := []struct {
 		field string
@@ -124,12 +127,12 @@
 	return nil
 }
 
-// ageOf returns the age of a load report, kept between zero and maxLoadAge.
-func ageOf(m *wiregen.LoadReport) time.Duration {
+// loadAge returns the age of a load report, clamped to the range from zero to maxLoadAge.
+func loadAge(m *wiregen.LoadReport) time.Duration {
 	return time.Duration(min(max(m.GetAgeMillis(), 0), maxLoadAge.Milliseconds())) * time.Millisecond
 }
 
-// EncodeAnnouncement returns the message of an endpoint whose load report is aged by now.
+// EncodeAnnouncement returns the announcement for an endpoint; its load report carries its age at the time now.
 func EncodeAnnouncement(now time.Time, e membership.Endpoint) *wiregen.Announcement {
 	return &wiregen.Announcement{
 		Name:          e.Name,
@@ -176,7 +179,7 @@
 // DecodeEntries returns the entries of the messages.
 func DecodeEntries(ms []*wiregen.EntryAdvert) []membership.Entry { return mapAll(ms, decodeEntry) }
 
-// EncodeEntries returns the messages of the entries.
+// EncodeEntries returns the messages for the entries.
 func EncodeEntries(es []membership.Entry) []*wiregen.EntryAdvert { return mapAll(es, EncodeEntry) }
 
 func decodeEntry(m *wiregen.EntryAdvert) membership.Entry {
@@ -195,7 +198,7 @@
 	}
 }
 
-// EncodeEntry returns the message of an entry.
+// EncodeEntry returns the message for an entry.
 func EncodeEntry(e membership.Entry) *wiregen.EntryAdvert {
 	return &wiregen.EntryAdvert{
 		Name:            e.Name,
@@ -212,7 +215,7 @@
 	}
 }
 
-// DecodeSummaries returns the summaries of the messages as heard now.
+// DecodeSummaries returns the summaries of messages received at the time now.
 func DecodeSummaries(now time.Time, ms []*wiregen.RegionSummary) []membership.Summary {
 	return mapAll(ms, func(m *wiregen.RegionSummary) membership.Summary {
 		return membership.Summary{
@@ -230,7 +233,7 @@
 	})
 }
 
-// EncodeSummaries returns the messages of the summaries, aged by now.
+// EncodeSummaries returns the messages for the summaries, with their age at the time now.
 func EncodeSummaries(now time.Time, summaries []membership.Summary) []*wiregen.RegionSummary {
 	return mapAll(summaries, func(s membership.Summary) *wiregen.RegionSummary {
 		return &wiregen.RegionSummary{
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// UnknownFieldError says that JSON holds a field that the schema does not have.
+// UnknownFieldError reports that JSON contains a field that is not in the schema.
 type UnknownFieldError struct {
 	Path string
 }
@@ -12,7 +12,7 @@
 	return fmt.Sprintf("field %q does not exist in the schema", e.Path)
 }
 
-// MalformedError says that JSON cannot be read as the message.
+// MalformedError reports that JSON cannot be decoded into the message.
 type MalformedError struct {
 	Message string
 	Cause   error
--- a/wire/fleet.go
+++ b/wire/fleet.go
@@ -7,15 +7,15 @@
 	"arbutusreel/wiregen"
 )
 
-// notTold is the remaining time of an endpoint that told none.
-const notTold = -1
+// remainingUnknown is the remaining time of an endpoint that has announced none.
+const remainingUnknown = -1
 
-// EncodeFleetEndpoint returns the message of an endpoint's record at a time; times travel as ages and remainders, as
-// the clocks of two instances may differ.
+// EncodeFleetEndpoint returns the message for an endpoint at the time now. Times are sent as ages and remaining times
+// because the clocks of two instances may differ.
 func EncodeFleetEndpoint(now time.Time, e fleet.Endpoint) *wiregen.EndpointRecord {
 	m := &wiregen.EndpointRecord{
 		Id: e.ID, Born: e.Born, Sequence: e.Sequence, Service: e.Service, Address: e.Address, FailureDomain: e.FailureDomain,
-		Slots: int32(e.Slots), State: int32(e.State), RemainingMillis: notTold, SilentMillis: now.Sub(e.LastSeen).Milliseconds(),
+		Slots: int32(e.Slots), State: int32(e.State), RemainingMillis: remainingUnknown, SilentMillis: now.Sub(e.LastSeen).Milliseconds(),
 	}
 	if e.Cold(now) {
 		m.ColdMillis = e.ColdUntil.Sub(now).Milliseconds()
@@ -26,7 +26,7 @@
 	return m
 }
 
-// DecodeFleetEndpoint returns the record of a message that was received at a time.
+// DecodeFleetEndpoint returns the endpoint of a message received at the time now.
 func DecodeFleetEndpoint(now time.Time, m *wiregen.EndpointRecord) fleet.Endpoint {
 	e := fleet.Endpoint{
 		ID: m.GetId(), Born: m.GetBorn(), Sequence: m.GetSequence(), Service: m.GetService(), Address: m.GetAddress(),
@@ -36,13 +36,13 @@
 	if m.GetColdMillis() > 0 {
 		e.ColdUntil = now.Add(time.Duration(m.GetColdMillis()) * time.Millisecond)
 	}
-	if m.GetRemainingMillis() != notTold {
+	if m.GetRemainingMillis() != remainingUnknown {
 		e.GoneAt = now.Add(time.Duration(m.GetRemainingMillis()) * time.Millisecond)
 	}
 	return e
 }
 
-// EncodeGateway returns the report of a gateway.
+// EncodeGateway returns the report for a gateway.
 func EncodeGateway(g fleet.Gateway) *wiregen.GatewayReport {
 	return &wiregen.GatewayReport{
 		Name: g.Name, CallerAddress: g.CallerAddress, LoadAddress: g.LoadAddress, ForwardAddress: g.ForwardAddress,
@@ -50,7 +50,7 @@
 	}
 }
 
-// DecodeGateway returns the gateway of a report that was true at a time.
+// DecodeGateway returns the gateway of a report that was current at the time at.
 func DecodeGateway(at time.Time, m *wiregen.GatewayReport) fleet.Gateway {
 	return fleet.Gateway{
 		Name: m.GetName(), CallerAddress: m.GetCallerAddress(), LoadAddress: m.GetLoadAddress(), ForwardAddress: m.GetForwardAddress(),
--- a/wire/forward.go
+++ b/wire/forward.go
@@ -9,7 +9,7 @@
 	"arbutusreel/wiregen"
 )
 
-// EncodeForward returns the message of a request; its deadline crosses as the time that remains.
+// EncodeForward returns the message for a request; its deadline is sent as the remaining time.
 func EncodeForward(r dispatch.Request) *wiregen.ForwardRequest {
 	m := &wiregen.ForwardRequest{
 		CorrelationId:   r.CorrelationID,
@@ -43,7 +43,7 @@
 	return m
 }
 
-// DecodeForward returns the request of a message that was received now.
+// DecodeForward returns the request of a message received at the time now.
 func DecodeForward(now time.Time, m *wiregen.ForwardRequest) dispatch.Request {
 	r := dispatch.Request{
 		CorrelationID:  m.GetCorrelationId(),
@@ -79,13 +79,13 @@
 	return r
 }
 
-// PieceFrame returns the frame of a piece.
+// PieceFrame returns the frame for a piece.
 func PieceFrame(p stream.Piece) *wiregen.ForwardFrame {
 	piece := &wiregen.ForwardPiece{Position: int64(p.Position), Data: []byte(p.Text)}
 	return &wiregen.ForwardFrame{Frame: &wiregen.ForwardFrame_Piece{Piece: piece}}
 }
 
-// EndFrame returns the frame that ends a whole answer.
+// EndFrame returns the frame that ends a complete answer.
 func EndFrame(e stream.End) *wiregen.ForwardFrame {
 	end := &wiregen.ForwardEnd{
 		Pieces:       int64(e.Pieces),
@@ -96,7 +96,7 @@
 	return &wiregen.ForwardFrame{Frame: &wiregen.ForwardFrame_End{End: end}}
 }
 
-// DecodeEnd returns the end of a whole answer.
+// DecodeEnd returns the end of a complete answer.
 func DecodeEnd(m *wiregen.ForwardEnd) stream.End {
 	return stream.End{
 		FinishReason: m.GetFinishReason(),
@@ -129,7 +129,7 @@
 	}
 }
 
-// ReplyFrames returns the frames of a plain service's whole answer.
+// ReplyFrames returns the frames of the complete answer of a plain service.
 func ReplyFrames(r dispatch.Reply) []*wiregen.ForwardFrame {
 	head := &wiregen.ForwardHead{Status: int64(r.Status), ContentType: r.ContentType, Endpoint: r.Endpoint}
 	return []*wiregen.ForwardFrame{
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -12,7 +12,8 @@
 	"arbutusreel/wiregen"
 )
 
-// FuzzInventory checks that a valid inventory survives its encoding, and that its numbers are usable.
+// FuzzInventory checks that a valid inventory is unchanged by encoding and decoding, and that its numbers are finite
+// and not negative.
 func FuzzInventory(f *testing.F) {
 	for _, file := range []string{"../examples/lunchclub/inventory.json", "../examples/tamarind/inventory.json"} {
 		b, err := os.ReadFile(file)
@@ -51,7 +52,7 @@
 		}
 		again := &wiregen.Inventory{}
 		if err := wire.DecodeJSON(text, again); err != nil || !proto.Equal(encoded, again) {
-			t.Errorf("the inventory did not survive its encoding: %v\n%s", err, text)
+			t.Errorf("the inventory changed when encoded and decoded: %v\n%s", err, text)
 		}
 	})
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// FuzzAnnouncement checks that an endpoint that was taken has usable numbers and survives its encoding.
+// FuzzAnnouncement checks that an accepted endpoint has valid numbers and is unchanged by encoding and decoding.
 func FuzzAnnouncement(f *testing.F) {
 	f.Add([]byte(`{"name":"e","address":"127.0.0.1:1","region":"r","failureDomain":"d","service":"s","models":["m"],"slots":"4","load":{"running":"1","tokensPerSecond":50,"ageMillis":"20"},"cacheEvents":[{"prefixHash":"7","tokens":"16"}]}`))
 	f.Add([]byte(`{"name":"e","address":"127.0.0.1:1","region":"r","failureDomain":"d","service":"s","slots":"4","load":{"tokensPerSecond":"NaN"}}`))
@@ -83,16 +84,16 @@
 		finite(t, "prefillTokensPerSecond", e.Load.PrefillTokensPerSecond)
 		finite(t, "cacheUse", e.Load.CacheUse)
 		if e.Slots <= 0 || e.Load.Running < 0 || e.Load.Queued < 0 || e.Load.QueuedTokens < 0 || e.Load.At.After(now) {
-			t.Errorf("endpoint %+v has numbers of no use", e)
+			t.Errorf("endpoint %+v has invalid numbers", e)
 		}
 		again, err := wire.DecodeAnnouncement(now, wire.EncodeAnnouncement(now, e))
 		if err != nil || again.Name != e.Name || again.Load != e.Load || len(again.CacheEvents) != len(e.CacheEvents) {
-			t.Errorf("the endpoint did not survive its encoding: %v\n%+v\n%+v", err, e, again)
+			t.Errorf("the endpoint changed when encoded and decoded: %v\n%+v\n%+v", err, e, again)
 		}
 	})
 }
 
-// FuzzOrder checks that the decoder of orders never fails by a panic.
+// FuzzOrder checks that decoding an order never panics.
 func FuzzOrder(f *testing.F) {
 	f.Add([]byte(`{"endpoint":"e","models":["m"],"term":"1","sequence":"2","deadlineMillis":"1000"}`))
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/wire/share.go
+++ b/wire/gossip.go
@@ -11,15 +11,15 @@
 	"arbutusreel/wiregen"
 )
 
-// originID identifies an origin's start in few bytes.
+// originID returns a 64-bit hash that identifies an incarnation of an origin.
 func originID(origin string, incarnation int64) uint64 {
 	return xxhash.Sum64String(origin + "\x00" + strconv.FormatInt(incarnation, 10))
 }
 
-// markIDBits is the length of the short hash that names an origin within one message.
+// markIDBits is the length, in bits, of the hash that identifies an origin within one message.
 const markIDBits = 14
 
-// markID names an origin's start within the message with the salt.
+// markID returns the identifier of an origin within the message with the salt.
 func markID(salt, origin uint64) uint32 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], salt)
@@ -27,7 +27,8 @@
 	return uint32(xxhash.Sum64(b[:]) >> (64 - markIDBits))
 }
 
-// EncodeMarks returns the message of the marks; salt differs between messages.
+// EncodeMarks returns the message for the marks. The salt must differ between messages, so that two origins whose
+// identifiers collide in one message do not collide in the next.
 func EncodeMarks(salt uint64, marks []membership.Mark) *wiregen.ShareMarks {
 	m := &wiregen.ShareMarks{Salt: salt}
 	for _, mark := range marks {
@@ -38,10 +39,11 @@
 	return m
 }
 
-// DecodeMarks returns the marks of the message whose origins are among the known ones, and their positions in it.
+// DecodeMarks returns the marks in the message whose origins are among the known ones, and their positions in the
+// message.
 //
-// An id may stand for another origin than the sender means. A delta that follows
-// on such a mark changes nothing there, and the beats are checked.
+// Because of hash collisions, an id may stand for an origin other than the sender meant. A delta computed from such a
+// mark has no effect at the sender, and the beats are protected by a checksum.
 func DecodeMarks(m *wiregen.ShareMarks, known []membership.Mark) (marks []membership.Mark, positions map[string]int) {
 	byID := map[uint32]int{}
 	for i, id := range m.GetIds() {
@@ -59,49 +61,51 @@
 	return marks, positions
 }
 
-// EncodeBeats returns the beats of the deltas that hold nothing else and whose marks stand in a request, and the other deltas.
-func EncodeBeats(deltas []membership.Delta[membership.Fact], asked *wiregen.ShareMarks, positions map[string]int) (*wiregen.ShareBeats, []membership.Delta[membership.Fact]) {
+// EncodeBeats returns the message for the deltas that only raise the beat of a mark in the request, and the remaining
+// deltas. The message is nil if there are no such deltas.
+func EncodeBeats(deltas []membership.Delta[membership.Fact], request *wiregen.ShareMarks, positions map[string]int) (*wiregen.ShareBeats, []membership.Delta[membership.Fact]) {
 	m := &wiregen.ShareBeats{}
 	var rest []membership.Delta[membership.Fact]
 	var origins []uint64
 	for _, d := range deltas {
 		i, ok := positions[d.Mark.Origin]
-		if !ok || d.Full || len(d.Items) > 0 || d.Mark.Beat <= asked.GetBeats()[i] {
+		if !ok || d.Full || len(d.Items) > 0 || d.Mark.Beat <= request.GetBeats()[i] {
 			rest = append(rest, d)
 			continue
 		}
 		m.Positions = append(m.Positions, uint32(i))
-		m.Rises = append(m.Rises, d.Mark.Beat-asked.GetBeats()[i])
+		m.Rises = append(m.Rises, d.Mark.Beat-request.GetBeats()[i])
 		origins = append(origins, originID(d.Mark.Origin, d.Mark.Incarnation))
 	}
 	if len(origins) == 0 {
 		return nil, rest
 	}
-	m.Check = checkOf(origins)
+	m.Check = checksum(origins)
 	return m, rest
 }
 
-// DecodeBeats returns the beats that answer the marks that were asked with, or nothing if the marks were misunderstood.
-func DecodeBeats(m *wiregen.ShareBeats, asked []membership.Mark) []membership.Delta[membership.Fact] {
+// DecodeBeats returns the beats received in answer to the requested marks as deltas. It returns nil if the checksum
+// shows that the responder mistook the origin of a mark.
+func DecodeBeats(m *wiregen.ShareBeats, requested []membership.Mark) []membership.Delta[membership.Fact] {
 	var deltas []membership.Delta[membership.Fact]
 	var origins []uint64
 	for i, position := range m.GetPositions() {
-		if int(position) >= len(asked) || i >= len(m.GetRises()) {
+		if int(position) >= len(requested) || i >= len(m.GetRises()) {
 			return nil
 		}
-		mark := asked[position]
+		mark := requested[position]
 		origins = append(origins, originID(mark.Origin, mark.Incarnation))
 		mark.Beat += m.GetRises()[i]
 		deltas = append(deltas, membership.Delta[membership.Fact]{Mark: mark, Since: mark.Version})
 	}
-	if m.GetCheck() != checkOf(origins) {
+	if m.GetCheck() != checksum(origins) {
 		return nil
 	}
 	return deltas
 }
 
-// checkOf hashes the origins in their order.
-func checkOf(origins []uint64) uint64 {
+// checksum hashes the origins in their order.
+func checksum(origins []uint64) uint64 {
 	b := make([]byte, 0, 8*len(origins))
 	for _, o := range origins {
 		b = binary.LittleEndian.AppendUint64(b, o)
@@ -109,7 +113,8 @@
 	return xxhash.Sum64(b)
 }
 
-// EncodeDeltas returns the messages of the deltas, whose loads are aged by now; a delta that follows on a mark names its origin by its id.
+// EncodeDeltas returns the messages for the deltas. Load reports carry their age at the time now. A delta that builds
+// on a known mark identifies its origin by its id.
 func EncodeDeltas(now time.Time, deltas []membership.Delta[membership.Fact]) []*wiregen.ShareDelta {
 	return mapAll(deltas, func(d membership.Delta[membership.Fact]) *wiregen.ShareDelta {
 		m := &wiregen.ShareDelta{Version: d.Mark.Version, Beat: d.Mark.Beat, Since: d.Since, Full: d.Full}
@@ -141,7 +146,8 @@
 	return m
 }
 
-// DecodeDeltas returns the deltas of the messages as heard now; one of an origin that is neither named nor known is left out.
+// DecodeDeltas returns the deltas of messages received at the time now. It skips deltas whose origin is neither named
+// nor known.
 func DecodeDeltas(now time.Time, ms []*wiregen.ShareDelta, known []membership.Mark) []membership.Delta[membership.Fact] {
 	origins := map[uint64]membership.Mark{}
 	for _, k := range known {
@@ -166,7 +172,7 @@
 	return deltas
 }
 
-// decodeItem returns an item; one whose fact is malformed counts as dropped.
+// decodeItem returns an item; one with a malformed fact is marked as dropped.
 func decodeItem(now time.Time, m *wiregen.ShareItem) membership.Item[membership.Fact] {
 	item := membership.Item[membership.Fact]{Key: m.GetKey(), Version: m.GetVersion(), Dropped: m.GetDropped()}
 	switch f := m.GetFact().(type) {
--- a/wire/inventory.go
+++ b/wire/inventory.go
@@ -8,7 +8,7 @@
 	"arbutusreel/wiregen"
 )
 
-// DecodeInventory returns the checked inventory of m; an invalid one returns inventory.Faults.
+// DecodeInventory returns the validated inventory of m; an invalid one returns inventory.Faults.
 func DecodeInventory(m *wiregen.Inventory) (*inventory.Inventory, error) {
 	return inventory.New(decodeContents(m))
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// EncodeInventory returns the message of inv.
+// EncodeInventory returns the message for inv.
 func EncodeInventory(inv *inventory.Inventory) *wiregen.Inventory {
 	c := inv.Contents()
 	return &wiregen.Inventory{
@@ -234,7 +234,7 @@
 	}
 }
 
-// millis returns a number of milliseconds as a duration, the longest one if there are too many.
+// millis returns n milliseconds as a duration, limited to the longest duration. A negative n returns -1 ms.
 func millis(n int64) time.Duration {
 	if n > math.MaxInt64/int64(time.Millisecond) {
 		return math.MaxInt64
--- a/wire/json.go
+++ b/wire/json.go
@@ -10,7 +10,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// DecodeJSON reads JSON into m; a field that the schema lacks returns *UnknownFieldError, other faults *MalformedError.
+// DecodeJSON reads JSON into m. A field that is not in the schema returns *UnknownFieldError; other faults return
+// *MalformedError.
 func DecodeJSON(b []byte, m proto.Message) error {
 	name := string(m.ProtoReflect().Descriptor().Name())
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// EncodeJSON returns m as JSON on several lines, with fields in the schema's order and zero values left out.
+// EncodeJSON returns m as indented JSON, with the fields in the schema's order and without zero values.
 func EncodeJSON(m proto.Message) ([]byte, error) {
 	compact, err := protojson.Marshal(m)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return b.Bytes(), nil
 }
 
-// checkFields returns *UnknownFieldError for the first field below value that the descriptor lacks.
+// checkFields returns *UnknownFieldError for the first field in value that the descriptor does not have.
 func checkFields(d protoreflect.MessageDescriptor, value any, path string) error {
 	object, ok := value.(map[string]any)
 	if !ok {
@@ -50,7 +51,7 @@
 	}
 	for name, item := range object {
 		field := d.Fields().ByJSONName(name)
-		itemPath := join(path, name)
+		itemPath := joinPath(path, name)
 		if field == nil {
 			return &UnknownFieldError{Path: itemPath}
 		}
@@ -77,7 +78,7 @@
 	return nil
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/wire/json_test.go
+++ b/wire/json_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(m, EncodeInventory(inv), protocmp.Transform()); diff != "" {
-			t.Errorf("%s changed on its way (-want +got):\n%s", file, diff)
+			t.Errorf("%s changed when decoded and encoded (-want +got):\n%s", file, diff)
 		}
 	}
 }
--- a/wire/ledger.go
+++ b/wire/ledger.go
@@ -7,7 +7,7 @@
 	"arbutusreel/wiregen"
 )
 
-// EncodeLedgerRequest returns the message of a request to a ledger replica.
+// EncodeLedgerRequest returns the message for a request to a ledger replica.
 func EncodeLedgerRequest(now time.Time, m ledger.Request) *wiregen.LedgerRequest {
 	return &wiregen.LedgerRequest{
 		Op:           wiregen.LedgerOp(m.Op),
@@ -24,7 +24,7 @@
 	}
 }
 
-// DecodeLedgerRequest returns the request of a message that was received now.
+// DecodeLedgerRequest returns the request of a message received at the time now.
 func DecodeLedgerRequest(now time.Time, m *wiregen.LedgerRequest) ledger.Request {
 	return ledger.Request{
 		Op:           ledger.Op(m.GetOp()),
@@ -40,7 +40,7 @@
 	}
 }
 
-// EncodeLedgerReply returns the message of a replica's reply.
+// EncodeLedgerReply returns the message for a replica's reply.
 func EncodeLedgerReply(now time.Time, r ledger.Reply) *wiregen.LedgerReply {
 	m := &wiregen.LedgerReply{
 		Slot:        r.Slot,
@@ -62,7 +62,7 @@
 	return m
 }
 
-// DecodeLedgerReply returns the reply of a message that was received now.
+// DecodeLedgerReply returns the reply of a message received at the time now.
 func DecodeLedgerReply(now time.Time, m *wiregen.LedgerReply) ledger.Reply {
 	r := ledger.Reply{
 		Slot:        m.GetSlot(),
@@ -82,7 +82,7 @@
 	return r
 }
 
-// EncodeLedgerCall returns the message of a call, whose claim is aged by now.
+// EncodeLedgerCall returns the message for a call; the time of its claim is sent as the age at the time now.
 func EncodeLedgerCall(now time.Time, c ledger.Record) *wiregen.LedgerCall {
 	return &wiregen.LedgerCall{
 		Team:        c.Key.Team,
@@ -103,7 +103,7 @@
 	}
 }
 
-// DecodeLedgerCall returns the call of a message that was received now.
+// DecodeLedgerCall returns the call of a message received at the time now.
 func DecodeLedgerCall(now time.Time, m *wiregen.LedgerCall) ledger.Record {
 	return ledger.Record{
 		Key:       ledger.Key{Team: m.GetTeam(), Key: m.GetKey()},
@@ -125,7 +125,7 @@
 	}
 }
 
-// EncodeLedgerChange returns the message of a change for the journal, in which claims bear the wall clock's time.
+// EncodeLedgerChange returns the message for a change in the journal, in which claims carry wall-clock time.
 func EncodeLedgerChange(c ledger.Change) *wiregen.LedgerChange {
 	switch {
 	case c.Memory != nil:
@@ -140,7 +140,7 @@
 	}
 }
 
-// DecodeLedgerChange returns the change of a message from the journal.
+// DecodeLedgerChange returns the change of a message read from the journal.
 func DecodeLedgerChange(m *wiregen.LedgerChange) ledger.Change {
 	if memory := m.GetMemory(); memory != nil {
 		return ledger.Change{Memory: &ledger.Memory{Group: memory.GetGroup(), Epoch: memory.GetEpoch(), Incarnation: memory.GetIncarnation(), Vector: memory.GetVector()}}
--- a/wire/limits.go
+++ b/wire/limits.go
@@ -7,7 +7,7 @@
 	"arbutusreel/wiregen"
 )
 
-// EncodeAsks returns the messages of asks for parts of limits.
+// EncodeAsks returns the messages for requests to borrow a part of a rate limit.
 func EncodeAsks(asks []limits.Ask) []*wiregen.RateAsk {
 	list := make([]*wiregen.RateAsk, 0, len(asks))
 	for _, a := range asks {
@@ -18,7 +18,7 @@
 	return list
 }
 
-// DecodeAsk returns the ask of a message.
+// DecodeAsk returns the request of a message.
 func DecodeAsk(m *wiregen.RateAsk) limits.Ask {
 	return limits.Ask{
 		Team: m.GetTeam(), Lender: m.GetLender(), Borrower: m.GetBorrower(), Number: m.GetNumber(), Rate: m.GetTokensPerSecond(),
@@ -26,7 +26,7 @@
 	}
 }
 
-// EncodeGrant returns the message of a grant.
+// EncodeGrant returns the message for a grant.
 func EncodeGrant(g limits.Grant) *wiregen.RateGrant {
 	return &wiregen.RateGrant{
 		Team: g.Team, Lender: g.Lender, Borrower: g.Borrower, Number: g.Number, TokensPerSecond: g.Rate,
