--- a/keys/files.go
+++ b/keys/files.go
@@ -28,12 +28,12 @@
 	return nil
 }
 
-// contents is what the three files hold, in the order of Files.
-type contents [3]string
+// fileContents is what the three files hold, in the order of Files.
+type fileContents [3]string
 
-// contents reads the files that are named; one that cannot be read returns *FileError.
-func (f Files) contents() (contents, error) {
-	var c contents
+// read reads the files that are named; one that cannot be read returns *FileError.
+func (f Files) read() (fileContents, error) {
+	var c fileContents
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		if name == "" {
 			continue
@@ -47,15 +47,15 @@
 	return c, nil
 }
 
-// material is what the contents of the files mean.
-type material struct {
+// parsedFiles is what the contents of the files mean.
+type parsedFiles struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
 // parse returns the material of the contents; contents of no use return *FileError.
-func (f Files) parse(c contents) (*material, error) {
-	m := &material{}
+func (f Files) parse(c fileContents) (*parsedFiles, error) {
+	m := &parsedFiles{}
 	if f.Certificate != "" {
 		pair, err := tls.X509KeyPair([]byte(c[0]), []byte(c[1]))
 		if err != nil {
--- a/keys/source.go
+++ b/keys/source.go
@@ -18,12 +18,12 @@
 // from the next connection on. Files that cannot be read leave the last good
 // ones in force. A nil source is plain.
 type Source struct {
-	files  Files
-	now    func() time.Time
-	report func(error)
-	mu     sync.Mutex
-	loaded *material
-	seen   contents
+	files        Files
+	now          func() time.Time
+	report       func(error)
+	mu           sync.Mutex
+	loaded       *parsedFiles
+	lastContents fileContents
 }
 
 // New reads the files and returns their source; report is told of later failures to read them.
@@ -33,36 +33,36 @@
 	if err := files.check(); err != nil {
 		return nil, err
 	}
-	seen, err := files.contents()
+	contents, err := files.read()
 	if err != nil {
 		return nil, err
 	}
-	loaded, err := files.parse(seen)
+	loaded, err := files.parse(contents)
 	if err != nil {
 		return nil, err
 	}
-	return &Source{files: files, now: now, report: report, loaded: loaded, seen: seen}, nil
+	return &Source{files: files, now: now, report: report, loaded: loaded, lastContents: contents}, nil
 }
 
 // Plain returns a source without TLS.
-func Plain() *Source { return &Source{loaded: &material{}} }
+func Plain() *Source { return &Source{loaded: &parsedFiles{}} }
 
 // Mutual reports whether the system's own processes speak TLS with one another.
 func (s *Source) Mutual() bool { return s != nil && s.files.Certificate != "" }
 
 // current returns what the files hold, read again if they have changed.
-func (s *Source) current() *material {
+func (s *Source) current() *parsedFiles {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, err := s.files.contents()
+	now, err := s.files.read()
 	if err != nil {
 		s.report(err)
 		return s.loaded
 	}
-	if now == s.seen {
+	if now == s.lastContents {
 		return s.loaded
 	}
-	s.seen = now
+	s.lastContents = now
 	loaded, err := s.files.parse(now)
 	if err != nil {
 		s.report(err)
--- a/keys/source_test.go
+++ b/keys/source_test.go
@@ -19,8 +19,8 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// holder is an instance with its files.
-type holder struct {
+// testInstance is an instance with its files.
+type testInstance struct {
 	files  keys.Files
 	source *keys.Source
 	now    time.Time
@@ -36,10 +36,10 @@
 	return a
 }
 
-func newHolder(t *testing.T, a *standin.Authority, name string) *holder {
+func newTestInstance(t *testing.T, a *standin.Authority, name string) *testInstance {
 	t.Helper()
 	dir := t.TempDir()
-	h := &holder{now: start, files: keys.Files{
+	h := &testInstance{now: start, files: keys.Files{
 		Certificate: filepath.Join(dir, "certificate.pem"),
 		Key:         filepath.Join(dir, "key.pem"),
 		Authority:   filepath.Join(dir, "authority.pem"),
@@ -61,7 +61,7 @@
 }
 
 // install writes a new certificate of the name and the authority.
-func (h *holder) install(t *testing.T, a *standin.Authority, name string) {
+func (h *testInstance) install(t *testing.T, a *standin.Authority, name string) {
 	t.Helper()
 	certificate, key, err := a.Sign(keys.Identity{Name: name, Region: "lahore"}.URI(), net.IPv4(127, 0, 0, 1))
 	if err != nil {
@@ -72,27 +72,27 @@
 	write(t, h.files.Authority, a.PEM())
 }
 
-// claims answers health checks only to a peer that is the instance "a" of lahore.
-type claims struct {
+// claimServer answers health checks only to a peer that is the instance "a" of lahore.
+type claimServer struct {
 	*health.Server
 	source *keys.Source
 }
 
-func (c claims) Check(ctx context.Context, m *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
+func (c claimServer) Check(ctx context.Context, m *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
 	if err := c.source.CheckClaim(ctx, m.GetService(), "lahore"); err != nil {
 		return nil, err
 	}
 	return &grpc_health_v1.HealthCheckResponse{}, nil
 }
 
-func (h *holder) serve(t *testing.T) string {
+func (h *testInstance) serve(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := grpc.NewServer(grpc.Creds(h.source.Server()))
-	grpc_health_v1.RegisterHealthServer(s, claims{Server: health.NewServer(), source: h.source})
+	grpc_health_v1.RegisterHealthServer(s, claimServer{Server: health.NewServer(), source: h.source})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(s.Stop)
 	return l.Addr().String()
@@ -114,14 +114,14 @@
 
 func TestMutual(t *testing.T) {
 	own, foreign := newAuthority(t), newAuthority(t)
-	server := newHolder(t, own, "b")
+	server := newTestInstance(t, own, "b")
 	address := server.serve(t)
-	a := newHolder(t, own, "a")
-	stranger := newHolder(t, foreign, "a")
-	believer := newHolder(t, foreign, "a")
-	write(t, believer.files.Authority, own.PEM())
-	late := newHolder(t, own, "a")
-	late.now = start.Add(48 * time.Hour)
+	a := newTestInstance(t, own, "a")
+	foreignClient := newTestInstance(t, foreign, "a")
+	trusting := newTestInstance(t, foreign, "a")
+	write(t, trusting.files.Authority, own.PEM())
+	expiredClient := newTestInstance(t, own, "a")
+	expiredClient.now = start.Add(48 * time.Hour)
 	tests := []struct {
 		name          string
 		client        *keys.Source
@@ -132,10 +132,10 @@
 		{"any name", a.source, "", "a", true},
 		{"wrong name of the server", a.source, "c", "a", false},
 		{"claim of another name", a.source, "b", "c", false},
-		{"foreign authority on both sides", stranger.source, "b", "a", false},
-		{"foreign certificate of a client that trusts the server", believer.source, "b", "a", false},
+		{"foreign authority on both sides", foreignClient.source, "b", "a", false},
+		{"foreign certificate of a client that trusts the server", trusting.source, "b", "a", false},
 		{"client without TLS", keys.Plain(), "b", "a", false},
-		{"expired certificate of the server", late.source, "b", "a", false},
+		{"expired certificate of the server", expiredClient.source, "b", "a", false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 
 func TestRotation(t *testing.T) {
 	before, after := newAuthority(t), newAuthority(t)
-	server, client := newHolder(t, before, "b"), newHolder(t, before, "a")
+	server, client := newTestInstance(t, before, "b"), newTestInstance(t, before, "a")
 	address := server.serve(t)
 	check := func(step string, ok bool) {
 		t.Helper()
@@ -172,14 +172,14 @@
 }
 
 func TestPlain(t *testing.T) {
-	server := &holder{source: keys.Plain()}
+	server := &testInstance{source: keys.Plain()}
 	if err := call(t, keys.Plain(), server.serve(t), "b", "a"); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestIncompleteFiles(t *testing.T) {
-	h := newHolder(t, newAuthority(t), "a")
+	h := newTestInstance(t, newAuthority(t), "a")
 	tests := []struct {
 		name string
 		edit func(*keys.Files)
--- a/logs/writer.go
+++ b/logs/writer.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	// maxLines is the number of lines that wait; at 500 bytes a line they take 2 MB.
-	maxLines = 4096
-	// writeBuffer gathers lines into one write.
-	writeBuffer = 32 << 10
+	// maxQueuedLines is the number of lines that wait; at 500 bytes a line they take 2 MB.
+	maxQueuedLines = 4096
+	// writeBufferBytes gathers lines into one write.
+	writeBufferBytes = 32 << 10
 	// flushDelay bounds how long a line waits for others to be written with it.
 	flushDelay = 20 * time.Millisecond
 )
 
 // Writer is an io.Writer of whole lines that never blocks.
 type Writer struct {
-	lines   *ring.Ring[[]byte]
-	dropped atomic.Int64
-	total   atomic.Int64
-	stop    chan struct{}
-	done    chan struct{}
+	queue        *ring.Ring[[]byte]
+	unreported   atomic.Int64
+	totalDropped atomic.Int64
+	stop         chan struct{}
+	done         chan struct{}
 }
 
 // New returns a writer whose lines go to w until Close is called.
 func New(w io.Writer) *Writer {
-	l := &Writer{lines: ring.New[[]byte](maxLines), stop: make(chan struct{}), done: make(chan struct{})}
+	l := &Writer{queue: ring.New[[]byte](maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go l.run(w)
 	return l
 }
 
 // Write takes a copy of a line; it never fails, and drops the line if too many wait.
 func (l *Writer) Write(line []byte) (int, error) {
-	kept := make([]byte, len(line))
-	copy(kept, line)
-	if !l.lines.Offer(kept) {
-		l.dropped.Add(1)
-		l.total.Add(1)
+	copied := make([]byte, len(line))
+	copy(copied, line)
+	if !l.queue.Offer(copied) {
+		l.unreported.Add(1)
+		l.totalDropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped returns the number of lines that were dropped.
-func (l *Writer) Dropped() int64 { return l.total.Load() }
+func (l *Writer) Dropped() int64 { return l.totalDropped.Load() }
 
 // Close writes the lines that wait, for as long as w takes them, and returns after timeout at the latest.
 func (l *Writer) Close(timeout time.Duration) {
@@ -60,7 +60,7 @@
 
 func (l *Writer) run(w io.Writer) {
 	defer close(l.done)
-	out := bufio.NewWriterSize(w, writeBuffer)
+	out := bufio.NewWriterSize(w, writeBufferBytes)
 	t := time.NewTicker(flushDelay)
 	defer t.Stop()
 	for {
@@ -76,14 +76,14 @@
 
 // drain writes the lines that wait. A failed write has no one to be told to; the lines are lost with their reader.
 func (l *Writer) drain(out *bufio.Writer) {
-	if l.lines.Len() == 0 {
+	if l.queue.Len() == 0 {
 		return
 	}
-	if n := l.dropped.Swap(0); n > 0 {
+	if n := l.unreported.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(out, "{\"level\":\"warn\",\"lines\":%d,\"message\":\"logLinesDropped\"}\n", n)
 	}
-	for n := l.lines.Len(); n > 0; n-- {
-		line, ok := l.lines.Poll()
+	for n := l.queue.Len(); n > 0; n-- {
+		line, ok := l.queue.Poll()
 		if !ok {
 			break
 		}
--- a/logs/writer_test.go
+++ b/logs/writer_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// stuckReader is a file whose reader has stopped until it is released.
-type stuckReader struct {
+// blockedWriter is a file whose reader has stopped until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (s *stuckReader) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,20 +28,20 @@
 // number of lost lines is told.
 func TestStoppedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const lines = 10 * maxLines
-		s := &stuckReader{release: make(chan struct{})}
+		const lines = 10 * maxQueuedLines
+		s := &blockedWriter{release: make(chan struct{})}
 		w := New(s)
 		line := strings.Repeat("x", 200)
 		for i := range lines {
 			if n, err := fmt.Fprintf(w, "%d %s\n", i, line); err != nil || n == 0 {
 				t.Fatalf("line %d: %d bytes, %v", i, n, err)
 			}
-			if i%maxLines == 0 {
+			if i%maxQueuedLines == 0 {
 				time.Sleep(2 * flushDelay)
 			}
 		}
-		if w.lines.Len() > maxLines {
-			t.Errorf("%d lines wait", w.lines.Len())
+		if w.queue.Len() > maxQueuedLines {
+			t.Errorf("%d lines wait", w.queue.Len())
 		}
 		dropped := w.Dropped()
 		if dropped == 0 {
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -15,8 +15,8 @@
 	histogramDigits = 2
 )
 
-// commandLine is the name of the variable that the standard library lists and that is not shown.
-const commandLine = "cmdline"
+// commandLineVar is the name of the variable that the standard library lists and that is not shown.
+const commandLineVar = "cmdline"
 
 // Set is the counts of one process; it is safe for concurrent use.
 type Set struct {
@@ -99,7 +99,7 @@
 func Handler(w http.ResponseWriter, _ *http.Request) {
 	var all expvar.Map
 	expvar.Do(func(kv expvar.KeyValue) {
-		if kv.Key != commandLine {
+		if kv.Key != commandLineVar {
 			all.Set(kv.Key, kv.Value)
 		}
 	})
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -22,14 +22,14 @@
 	f.Add("tlsKeyFile", "/")
 	f.Fuzz(func(t *testing.T, name, text string) {
 		m := &wiregen.EntrySettings{}
-		given := ""
+		envName := ""
 		for _, s := range settings.Describe(m) {
 			if s.Name == name {
-				given = s.Env
+				envName = s.Env
 			}
 		}
 		err := settings.Load(m, settings.Flags{}, func(env string) string {
-			if env == given {
+			if env == envName {
 				return text
 			}
 			return ""
--- a/settings/load.go
+++ b/settings/load.go
@@ -47,7 +47,7 @@
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		s := describe(field)
-		text := given(s, flags, getenv)
+		text := lookupText(s, flags, getenv)
 		if text == "" {
 			if s.Required {
 				faults = append(faults, Fault{Setting: s.Name, Reason: "the setting is required"})
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// given returns the setting's text from the flag, the environment variable or the default, in this order.
-func given(s Setting, flags Flags, getenv func(string) string) string {
+// lookupText returns the setting's text from the flag, the environment variable or the default, in this order.
+func lookupText(s Setting, flags Flags, getenv func(string) string) string {
 	if text := flags[s.Name]; text != nil && *text != "" {
 		return *text
 	}
@@ -84,7 +84,7 @@
 	}
 	switch field.Kind() {
 	case protoreflect.StringKind:
-		if reason := s.choice(text); reason != "" {
+		if reason := s.checkChoice(text); reason != "" {
 			return protoreflect.Value{}, reason
 		}
 		return protoreflect.ValueOfString(text), check(s.Kind, text)
@@ -99,7 +99,7 @@
 		if err != nil {
 			return protoreflect.Value{}, "the value is a whole number"
 		}
-		return protoreflect.ValueOfInt64(n), s.bounds(n)
+		return protoreflect.ValueOfInt64(n), s.checkBounds(n)
 	default:
 		return parseDuration(s, text)
 	}
@@ -121,11 +121,11 @@
 	if err != nil {
 		return protoreflect.Value{}, "the value is a duration such as 250ms or 3s"
 	}
-	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), s.bounds(wholeMillis(d))
+	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), s.checkBounds(millisAwayFromZero(d))
 }
 
-// wholeMillis returns d in milliseconds, rounded away from zero so that no part of one lies beyond a bound.
-func wholeMillis(d time.Duration) int64 {
+// millisAwayFromZero returns d in milliseconds, rounded away from zero so that no part of one lies beyond a bound.
+func millisAwayFromZero(d time.Duration) int64 {
 	n := d.Milliseconds()
 	switch {
 	case d > time.Duration(n)*time.Millisecond:
@@ -150,8 +150,8 @@
 	Type     string
 }
 
-// bounds returns why n lies outside the bounds, or "" if it does not.
-func (s Setting) bounds(n int64) string {
+// checkBounds returns why n lies outside the checkBounds, or "" if it does not.
+func (s Setting) checkBounds(n int64) string {
 	if s.Min == 0 && s.Max == 0 {
 		return ""
 	}
@@ -161,8 +161,8 @@
 	return ""
 }
 
-// choice returns why the text is none of the choices, or "" if it is one or there are none.
-func (s Setting) choice(text string) string {
+// checkChoice returns why the text is none of the choices, or "" if it is one or there are none.
+func (s Setting) checkChoice(text string) string {
 	if len(s.Choices) == 0 || slices.Contains(s.Choices, text) {
 		return ""
 	}
