--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,2 +1,2 @@
-// Package clock holds the waits that goroutines share, which end with their context.
+// Package clock provides waits that end early with their context.
 package clock
--- a/clock/sleep.go
+++ b/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d and reports false if ctx ends first; if d is not greater than zero, it only looks at ctx.
+// Sleep waits for d and reports false if ctx ends first; if d is not positive, it only checks ctx.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/clock/sleep_test.go
+++ b/clock/sleep_test.go
@@ -14,9 +14,9 @@
 		want       bool
 		waited     time.Duration
 	}{
-		{name: "whole", d: time.Second, timeout: time.Minute, want: true, waited: time.Second},
-		{name: "ended first", d: time.Minute, timeout: time.Second, waited: time.Second},
-		{name: "nothing to wait for", timeout: time.Second, want: true},
+		{name: "full duration", d: time.Second, timeout: time.Minute, want: true, waited: time.Second},
+		{name: "context ends first", d: time.Minute, timeout: time.Second, waited: time.Second},
+		{name: "zero duration", timeout: time.Second, want: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/fault/doc.go
+++ b/fault/doc.go
@@ -1,2 +1,2 @@
-// Package fault gathers the faults of an input that is checked as a whole, so that all of them are told at once.
+// Package fault collects the faults of an input that is checked as a whole, so that all of them are reported together.
 package fault
--- a/fault/list.go
+++ b/fault/list.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// List is every fault of one input, in the order in which they were found.
+// List is the list of all faults of one input, in the order in which they were found.
 type List[F error] []F
 
-// Error lists every fault, one a line.
+// Error returns the faults, one per line.
 func (l List[F]) Error() string {
 	lines := make([]string, 0, len(l))
 	for _, f := range l {
--- a/keys/dial.go
+++ b/keys/dial.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// firstDialDelay and maxDialDelay bound the waits between attempts to connect, so that a peer is found soon after a
-	// partition.
+	// firstDialDelay and maxDialDelay bound the waits between connection attempts, so that a peer is reached soon
+	// after a partition.
 	firstDialDelay = 100 * time.Millisecond
 	maxDialDelay   = time.Second
 	dialMultiplier = 1.6
 	dialJitter     = 0.2
-	// dialTimeout bounds one attempt to connect.
+	// dialTimeout bounds one connection attempt.
 	dialTimeout = 2 * time.Second
 )
 
-// Dial returns a connection to another process of the system that reconnects by itself; maxBytes bounds one message.
+// Dial returns a connection to another process of the system that reconnects automatically; maxBytes bounds one
+// received message.
 func (s *Source) Dial(address string, maxBytes int) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(s.Client(address)),
--- a/keys/doc.go
+++ b/keys/doc.go
@@ -1,7 +1,7 @@
-// Package keys holds the certificates of an instance and checks those of its peers.
+// Package keys loads the certificates of an instance and verifies those of its peers.
 //
-// Certificates, keys and authorities are PEM files that are read again when
-// they change. Between the system's own processes TLS is mutual: each side
-// names itself by a URI in its certificate, as in spiffe://arbutusreel/REGION/NAME.
-// Without files everything is plain.
+// Certificates, keys and authorities are PEM files that are reloaded when
+// they change. The system's own processes use mutual TLS: each side
+// identifies itself by a URI in its certificate, as in spiffe://arbutusreel/REGION/NAME.
+// Without files all connections are plain, that is without TLS.
 package keys
--- a/keys/errors.go
+++ b/keys/errors.go
@@ -2,63 +2,63 @@
 
 import "fmt"
 
-// IncompleteError says that a file is missing from a set of files.
+// IncompleteError reports that a file is missing from the set of TLS files.
 type IncompleteError struct {
 	Setting string
 }
 
-// Error names the setting.
+// Error returns the setting of the missing file.
 func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("setting %q is required with the other files of TLS", e.Setting)
+	return fmt.Sprintf("setting %q is required if other TLS files are set", e.Setting)
 }
 
-// FileError says that a file cannot be used.
+// FileError reports a file that cannot be used.
 type FileError struct {
 	File  string
 	Cause error
 }
 
-// Error names the file and the cause.
+// Error returns the file and the cause.
 func (e *FileError) Error() string { return fmt.Sprintf("file %q cannot be used: %v", e.File, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NoCertificateError says that nothing in a file, or on a connection, is a certificate.
+// NoCertificateError reports that a file or a connection holds no certificate.
 type NoCertificateError struct{}
 
 // Error says what is missing.
-func (e *NoCertificateError) Error() string { return "there is no certificate" }
+func (e *NoCertificateError) Error() string { return "no certificate found" }
 
-// IdentityError says that a certificate does not name one instance.
+// IdentityError reports a certificate that does not name exactly one instance.
 type IdentityError struct {
 	URIs []string
 }
 
-// Error names the URIs of the certificate.
+// Error returns the URIs of the certificate.
 func (e *IdentityError) Error() string {
 	return fmt.Sprintf("certificate with the URIs %q does not name one instance", e.URIs)
 }
 
-// NameError says that a peer is another instance than the one that was asked for.
+// NameError reports that a peer is not the expected instance.
 type NameError struct {
 	Want string
 	Got  Identity
 }
 
-// Error names both instances.
+// Error returns both instances.
 func (e *NameError) Error() string {
 	return fmt.Sprintf("peer is instance %q of region %q, not %q", e.Got.Name, e.Got.Region, e.Want)
 }
 
-// ClaimError says that a peer claims to be an instance that its certificate does not name.
+// ClaimError reports that a peer claims to be an instance that its certificate does not name.
 type ClaimError struct {
 	Name   string
 	Region string
 	Got    Identity
 }
 
-// Error names the claimed and the proven identity.
+// Error returns the claimed identity and that of the certificate.
 func (e *ClaimError) Error() string {
 	return fmt.Sprintf("peer claims to be instance %q of region %q; its certificate names %q of region %q", e.Name, e.Region, e.Got.Name, e.Got.Region)
 }
--- a/keys/files.go
+++ b/keys/files.go
@@ -6,14 +6,14 @@
 	"os"
 )
 
-// Files names the PEM files of an instance; all empty means plain.
+// Files names the PEM files of an instance; without any, connections are plain.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// check returns *IncompleteError if one file is given without another that it needs.
+// check returns *IncompleteError if a file is given without another one that it needs.
 func (f Files) check() error {
 	switch {
 	case f.Certificate == "" && f.Key == "":
@@ -28,10 +28,10 @@
 	return nil
 }
 
-// fileContents is what the three files hold, in the order of Files.
+// fileContents holds the contents of the three files, in the order of Files.
 type fileContents [3]string
 
-// read reads the files that are named; one that cannot be read returns *FileError.
+// read returns the contents of the named files; one that cannot be read returns *FileError.
 func (f Files) read() (fileContents, error) {
 	var c fileContents
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
@@ -47,13 +47,13 @@
 	return c, nil
 }
 
-// parsedFiles is what the contents of the files mean.
+// parsedFiles holds the certificate and the authority that the files contain.
 type parsedFiles struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
-// parse returns the material of the contents; contents of no use return *FileError.
+// parse returns the certificate and the authority in the contents; invalid contents return *FileError.
 func (f Files) parse(c fileContents) (*parsedFiles, error) {
 	m := &parsedFiles{}
 	if f.Certificate != "" {
--- a/keys/identity.go
+++ b/keys/identity.go
@@ -10,24 +10,25 @@
 	"google.golang.org/grpc/peer"
 )
 
-// Parts of the URI that names an instance.
+// Fixed parts of the URI that identifies an instance.
 const (
 	uriScheme = "spiffe"
 	uriHost   = "arbutusreel"
 )
 
-// Identity is an instance as its certificate names it.
+// Identity is an instance as named by its certificate.
 type Identity struct {
 	Name   string
 	Region string
 }
 
-// URI returns the URI that names the instance in a certificate.
+// URI returns the URI that identifies the instance in a certificate.
 func (i Identity) URI() *url.URL {
 	return &url.URL{Scheme: uriScheme, Host: uriHost, Path: "/" + i.Region + "/" + i.Name}
 }
 
-// IdentityOf returns the instance that a certificate names; none or several return *IdentityError.
+// IdentityOf returns the instance that a certificate names; a certificate that names none or several returns
+// *IdentityError.
 func IdentityOf(c *x509.Certificate) (Identity, error) {
 	var found []Identity
 	var uris []string
@@ -44,7 +45,8 @@
 	return found[0], nil
 }
 
-// Peer returns the instance at the other end of a gRPC call, as its checked certificate names it; ok is false without TLS.
+// Peer returns the instance at the other end of a gRPC call, as named by its verified certificate; ok is false
+// without TLS.
 func Peer(ctx context.Context) (identity Identity, ok bool) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/keys/source.go
+++ b/keys/source.go
@@ -12,11 +12,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Source gives the TLS configurations of one instance; it is safe for concurrent use.
+// Source provides the TLS configurations of one instance; it is safe for concurrent use.
 //
-// The files are read before each handshake, so that a change is in force
-// from the next connection on. Files that cannot be read leave the last good
-// ones in force. A nil source is plain.
+// The files are read before each handshake, so that a change applies from the next connection on. If the files cannot
+// be used, the last valid ones stay in use. A nil source is plain.
 type Source struct {
 	files        Files
 	now          func() time.Time
@@ -26,9 +25,9 @@
 	lastContents fileContents
 }
 
-// New reads the files and returns their source; report is told of later failures to read them.
+// New reads the files and returns their source; report is called with each later error of reading them.
 //
-// An incomplete set returns *IncompleteError, a file that cannot be used *FileError.
+// An incomplete set returns *IncompleteError, and a file that cannot be used returns *FileError.
 func New(files Files, now func() time.Time, report func(error)) (*Source, error) {
 	if err := files.check(); err != nil {
 		return nil, err
@@ -47,23 +46,23 @@
 // Plain returns a source without TLS.
 func Plain() *Source { return &Source{loaded: &parsedFiles{}} }
 
-// Mutual reports whether the system's own processes speak TLS with one another.
+// Mutual reports whether the system's own processes use TLS with one another.
 func (s *Source) Mutual() bool { return s != nil && s.files.Certificate != "" }
 
-// current returns what the files hold, read again if they have changed.
+// current returns the certificate and the authority, reloaded if the files have changed.
 func (s *Source) current() *parsedFiles {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, err := s.files.read()
+	contents, err := s.files.read()
 	if err != nil {
 		s.report(err)
 		return s.loaded
 	}
-	if now == s.lastContents {
+	if contents == s.lastContents {
 		return s.loaded
 	}
-	s.lastContents = now
-	loaded, err := s.files.parse(now)
+	s.lastContents = contents
+	loaded, err := s.files.parse(contents)
 	if err != nil {
 		s.report(err)
 		return s.loaded
@@ -72,7 +71,7 @@
 	return loaded
 }
 
-// Server returns the credentials of a gRPC server that demands a certificate of the authority from its clients.
+// Server returns the credentials of a gRPC server that requires client certificates signed by the authority.
 func (s *Source) Server() credentials.TransportCredentials {
 	if !s.Mutual() {
 		return insecure.NewCredentials()
@@ -89,14 +88,15 @@
 	})
 }
 
-// Client returns the credentials of a gRPC client that speaks only to the instance expectName, or to any if it is empty.
+// Client returns the credentials of a gRPC client that connects only to the instance expectName, or to any instance
+// if it is empty.
 func (s *Source) Client(expectName string) credentials.TransportCredentials {
 	if !s.Mutual() {
 		return insecure.NewCredentials()
 	}
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The chain and the name are checked by VerifyConnection: instances are known by name and not by host.
+		// VerifyConnection checks the chain and the name: instances are identified by name and not by host.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.current().certificate, nil
@@ -111,7 +111,7 @@
 	})
 }
 
-// HTTPServer returns the configuration of an HTTP server for callers or operators, or nil if it is plain.
+// HTTPServer returns the TLS configuration of an HTTP server for callers or operators, or nil if it is plain.
 func (s *Source) HTTPServer() *tls.Config {
 	if !s.Mutual() {
 		return nil
@@ -119,7 +119,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: s.serverCertificate}
 }
 
-// HTTPClient returns the configuration of an HTTP client that trusts the authority, or nil if it is plain.
+// HTTPClient returns the TLS configuration of an HTTP client that trusts the authority, or nil if it is plain.
 func (s *Source) HTTPClient() *tls.Config {
 	if s == nil || s.files.Authority == "" {
 		return nil
@@ -127,7 +127,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: s.current().authority}
 }
 
-// CheckClaim returns *ClaimError if the peer of a gRPC call is another instance than it claims; without TLS it returns nil.
+// CheckClaim returns *ClaimError if the peer of a gRPC call is not the instance that it claims to be; without TLS it
+// returns nil.
 func (s *Source) CheckClaim(ctx context.Context, name, region string) error {
 	if !s.Mutual() {
 		return nil
@@ -143,7 +144,7 @@
 	return s.current().certificate, nil
 }
 
-// verify checks the chain of the other side against the authority in force and returns whom it names.
+// verify checks the peer's certificate chain against the current authority and returns the instance that it names.
 func (s *Source) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, &NoCertificateError{}
--- a/keys/source_test.go
+++ b/keys/source_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testInstance is an instance with its files.
+// testInstance is an instance with its TLS files.
 type testInstance struct {
 	files  keys.Files
 	source *keys.Source
@@ -60,7 +60,7 @@
 	}
 }
 
-// install writes a new certificate of the name and the authority.
+// install writes a new certificate for the name, its key and the authority.
 func (h *testInstance) install(t *testing.T, a *standin.Authority, name string) {
 	t.Helper()
 	certificate, key, err := a.Sign(keys.Identity{Name: name, Region: "lahore"}.URI(), net.IPv4(127, 0, 0, 1))
@@ -72,7 +72,7 @@
 	write(t, h.files.Authority, a.PEM())
 }
 
-// claimServer answers health checks only to a peer that is the instance "a" of lahore.
+// claimServer answers health checks only if the client is the instance of region lahore that it claims to be.
 type claimServer struct {
 	*health.Server
 	source *keys.Source
--- a/logs/doc.go
+++ b/logs/doc.go
@@ -1,5 +1,5 @@
-// Package logs carries log lines to a file without ever making their writer wait.
+// Package logs writes log lines to a file without blocking the process that logs.
 //
-// Lines wait in a bounded ring for one goroutine that writes them. A line that finds the ring full is dropped and
-// counted, and the next line that fits is preceded by one that tells the number.
+// Lines are queued in a bounded queue for one goroutine that writes them. A line that finds the queue full is dropped
+// and counted, and the number of dropped lines is written before the lines that follow.
 package logs
--- a/logs/writer.go
+++ b/logs/writer.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxQueuedLines is the number of lines that wait; at 500 bytes a line they take 2 MB.
+	// maxQueuedLines bounds the queue; at 500 bytes a line it takes 2 MB.
 	maxQueuedLines = 4096
-	// writeBufferBytes gathers lines into one write.
+	// writeBufferBytes is the size of the buffer that combines lines into one write.
 	writeBufferBytes = 32 << 10
-	// flushDelay bounds how long a line waits for others to be written with it.
+	// flushDelay bounds how long a line is delayed to be written together with others.
 	flushDelay = 20 * time.Millisecond
 )
 
@@ -28,14 +28,14 @@
 	done         chan struct{}
 }
 
-// New returns a writer whose lines go to w until Close is called.
+// New returns a writer whose lines are written to w until Close is called.
 func New(w io.Writer) *Writer {
 	l := &Writer{queue: ring.New[[]byte](maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go l.run(w)
 	return l
 }
 
-// Write takes a copy of a line; it never fails, and drops the line if too many wait.
+// Write queues a copy of a line; it never fails, and drops the line if the queue is full.
 func (l *Writer) Write(line []byte) (int, error) {
 	copied := make([]byte, len(line))
 	copy(copied, line)
@@ -46,10 +46,10 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were dropped.
+// Dropped returns the number of dropped lines.
 func (l *Writer) Dropped() int64 { return l.totalDropped.Load() }
 
-// Close writes the lines that wait, for as long as w takes them, and returns after timeout at the latest.
+// Close writes the queued lines and returns when they are written, or after timeout at the latest.
 func (l *Writer) Close(timeout time.Duration) {
 	close(l.stop)
 	select {
@@ -74,7 +74,7 @@
 	}
 }
 
-// drain writes the lines that wait. A failed write has no one to be told to; the lines are lost with their reader.
+// drain writes the queued lines. Write errors are ignored: there is nowhere to report them, and the lines are lost.
 func (l *Writer) drain(out *bufio.Writer) {
 	if l.queue.Len() == 0 {
 		return
--- a/logs/writer_test.go
+++ b/logs/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// blockedWriter is a file whose reader has stopped until it is released.
+// blockedWriter blocks every write until it is released, like a pipe whose reader has stopped.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -24,8 +24,8 @@
 	return s.got.Write(b)
 }
 
-// TestStoppedReader logs far more lines than wait while nobody reads: no write blocks, memory stays bounded, and the
-// number of lost lines is told.
+// TestStoppedReader logs far more lines than the queue holds while nothing is read: no write blocks, memory stays
+// bounded, and the number of dropped lines is reported.
 func TestStoppedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lines = 10 * maxQueuedLines
@@ -41,7 +41,7 @@
 			}
 		}
 		if w.queue.Len() > maxQueuedLines {
-			t.Errorf("%d lines wait", w.queue.Len())
+			t.Errorf("%d lines are queued", w.queue.Len())
 		}
 		dropped := w.Dropped()
 		if dropped == 0 {
@@ -54,7 +54,7 @@
 			t.Errorf("%d lines were written and %d dropped, of %d", written, dropped, lines)
 		}
 		if !strings.Contains(s.got.String(), "logLinesDropped") {
-			t.Error("the lost lines are not told")
+			t.Error("the dropped lines are not reported")
 		}
 	})
 }
--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -1,5 +1,5 @@
-// Package metrics counts what one process does, for /debug/vars.
+// Package metrics counts the requests of one process, for /debug/vars.
 //
-// A Set is an expvar.Var; the program lists it once under the name of its
-// role, and hands it to the parts that count.
+// A Set is an expvar.Var; the program publishes it once under the name of its
+// role, and passes it to the components that count.
 package metrics
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -9,16 +9,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms: microseconds up to ten seconds, two digits.
+// Range and precision of the histograms: microseconds up to 10 s, with two significant digits.
 const (
 	maxMicros       = 10_000_000
 	histogramDigits = 2
 )
 
-// commandLineVar is the name of the variable that the standard library lists and that is not shown.
+// commandLineVar is a variable published by the standard library that Handler omits.
 const commandLineVar = "cmdline"
 
-// Set is the counts of one process; it is safe for concurrent use.
+// Set holds the counters of one process; it is safe for concurrent use.
 type Set struct {
 	vars     expvar.Map
 	requests expvar.Map
@@ -29,7 +29,7 @@
 
 var _ expvar.Var = (*Set)(nil)
 
-// New returns a set whose counts are zero.
+// New returns a set with all counters at zero.
 func New() *Set {
 	s := &Set{added: NewTimes()}
 	s.vars.Set("requests", &s.requests)
@@ -39,10 +39,10 @@
 	return s
 }
 
-// String returns the counts as JSON.
+// String returns the counters as JSON.
 func (s *Set) String() string { return s.vars.String() }
 
-// Add lists one more variable.
+// Add adds a variable to the set under a name.
 func (s *Set) Add(name string, v expvar.Var) { s.vars.Set(name, v) }
 
 // Begin counts a request in progress.
@@ -54,13 +54,13 @@
 // Count counts the outcome of a request by its code.
 func (s *Set) Count(code string) { s.requests.Add(code, 1) }
 
-// Tokens counts tokens that were sent to callers.
+// Tokens counts tokens sent to callers.
 func (s *Set) Tokens(n int) { s.tokens.Add(int64(n)) }
 
-// Added notes the time that the process itself added to the first token of an answer.
+// Added records the latency that the process itself added to the first token of an answer.
 func (s *Set) Added(d time.Duration) { s.added.Note(d) }
 
-// Times is a histogram of times; its zero value is not ready for use.
+// Times is a histogram of durations; its zero value is not ready for use.
 type Times struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -71,14 +71,14 @@
 
 var _ expvar.Var = (*Times)(nil)
 
-// Note counts a time; it is kept within a microsecond and ten seconds.
+// Note records a duration, clamped to the range from 1 µs to 10 s.
 func (t *Times) Note(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_ = t.histogram.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
-// String returns the number of times and their quantiles in microseconds as JSON.
+// String returns the number of durations and their quantiles in microseconds as JSON.
 func (t *Times) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,7 @@
 	return m.String()
 }
 
-// Handler serves every variable of the process as JSON, without its command line.
+// Handler serves all published variables as JSON, except the command line of the process.
 func Handler(w http.ResponseWriter, _ *http.Request) {
 	var all expvar.Map
 	expvar.Do(func(kv expvar.KeyValue) {
--- a/problem/codec.go
+++ b/problem/codec.go
@@ -14,7 +14,7 @@
 // maxStatus is the highest HTTP status.
 const maxStatus = 599
 
-// message is a problem on the wire.
+// message is the JSON form of a problem.
 type message struct {
 	Type             string `json:"type"`
 	Title            string `json:"title"`
@@ -44,12 +44,12 @@
 	return b
 }
 
-// maxRetryAfter is the longest wait that is taken from another's problem.
+// maxRetryAfter bounds the RetryAfter of a decoded problem.
 const maxRetryAfter = 24 * time.Hour
 
-// Decode returns the problem in b; ok is false if b is no problem JSON with a code and a status of failure.
+// Decode returns the problem in b; ok is false if b is not problem JSON with a code and an error status.
 //
-// An outcome that is not known counts as Unknown, and a wait is kept within a day.
+// Any outcome other than NotRun is decoded as Unknown, and RetryAfter is clamped to the range from zero to one day.
 func Decode(b []byte) (p *Problem, ok bool) {
 	var m message
 	if json.Unmarshal(b, &m) != nil || m.Code == "" || m.Status < http.StatusBadRequest || m.Status > maxStatus {
@@ -69,7 +69,7 @@
 	}, true
 }
 
-// Write answers an HTTP request with p; a RetryAfter is rounded up to whole seconds in the Retry-After header.
+// Write responds to an HTTP request with p; RetryAfter is rounded up to whole seconds in the Retry-After header.
 func Write(w http.ResponseWriter, p *Problem, correlationID string) {
 	h := w.Header()
 	h.Set("Content-Type", contentType)
--- a/problem/fuzz_test.go
+++ b/problem/fuzz_test.go
@@ -8,7 +8,7 @@
 	"arbutusreel/problem"
 )
 
-// FuzzDecode checks that a problem that was taken can be passed on and survives its encoding.
+// FuzzDecode checks that an accepted problem can be written and survives its encoding.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"type":"about:blank","status":503,"code":"noCapacity","outcome":"notRun","retryAfterMillis":1000}`))
 	f.Add([]byte(`{"status":0,"code":"x"}`))
@@ -22,10 +22,10 @@
 			return
 		}
 		if p.Status < http.StatusBadRequest || p.RetryAfter < 0 {
-			t.Fatalf("problem %+v was taken", p)
+			t.Fatalf("problem %+v was accepted", p)
 		}
 		if p.Outcome != problem.NotRun && p.Outcome != problem.Unknown {
-			t.Errorf("outcome %q was taken", p.Outcome)
+			t.Errorf("outcome %q was accepted", p.Outcome)
 		}
 		problem.Write(httptest.NewRecorder(), p, "c")
 		again, ok := problem.Decode(problem.Encode(p, "c"))
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -8,16 +8,16 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Outcome tells whether a request that failed was run.
+// Outcome says whether a failed request was run.
 type Outcome string
 
-// Outcomes of a request that failed.
+// Outcomes of a failed request.
 const (
-	// NotRun says that no endpoint ran the request, nor will.
+	// NotRun means that no endpoint has run the request, and that none will.
 	NotRun Outcome = "notRun"
-	// Unknown says that an endpoint may have run the request, wholly or in part.
+	// Unknown means that an endpoint may have run the request, completely or in part.
 	Unknown Outcome = "outcomeUnknown"
-	// Ran says that an endpoint ran the request and its answer cannot be given.
+	// Ran means that an endpoint ran the request and that its answer cannot be returned.
 	Ran Outcome = "ran"
 )
 
@@ -73,7 +73,7 @@
 	Internal           Code = "internal"
 )
 
-// Problem is a failure as its receiver sees it; RetryAfter is zero if a new try will not help.
+// Problem is a failure as reported to a caller or operator; RetryAfter is zero if a retry will not help.
 type Problem struct {
 	Code       Code
 	Status     int
@@ -84,7 +84,7 @@
 
 var _ error = (*Problem)(nil)
 
-// New returns a problem of a request that was not run.
+// New returns a problem with the outcome NotRun.
 func New(code Code, status int, format string, args ...any) *Problem {
 	return &Problem{Code: code, Status: status, Detail: fmt.Sprintf(format, args...), Outcome: NotRun}
 }
@@ -94,21 +94,22 @@
 	return string(p.Code) + ": " + p.Detail
 }
 
-// WithRetryAfter returns a copy that says when to come back.
+// WithRetryAfter returns a copy of p with the wait before a retry.
 func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	q := *p
 	q.RetryAfter = d
 	return &q
 }
 
-// WithOutcome returns a copy with the outcome.
+// WithOutcome returns a copy of p with the outcome.
 func (p *Problem) WithOutcome(o Outcome) *Problem {
 	q := *p
 	q.Outcome = o
 	return &q
 }
 
-// From returns the problem within err; any other error becomes an internal problem of unknown outcome with err's HTTP status.
+// From returns the Problem in the chain of err; any other error becomes an internal problem with an unknown outcome
+// and the HTTP status of err.
 func From(err error) *Problem {
 	var p *Problem
 	if errors.As(err, &p) {
--- a/ring/doc.go
+++ b/ring/doc.go
@@ -1,2 +1,2 @@
-// Package ring is a bounded queue that joins the goroutines of a process.
+// Package ring provides a bounded queue between the goroutines of a process.
 package ring
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -7,12 +7,12 @@
 	items chan T
 }
 
-// New returns a ring that holds up to n items; n is at least one.
+// New returns a queue with a capacity of n items; n below one counts as one.
 func New[T any](n int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, max(n, 1))}
 }
 
-// Offer adds an item and reports false at once if the ring is full.
+// Offer adds an item without waiting; it reports false if the queue is full.
 func (r *Ring[T]) Offer(item T) bool {
 	select {
 	case r.items <- item:
@@ -22,7 +22,7 @@
 	}
 }
 
-// Put adds an item, waiting while the ring is full; it returns ctx's error if ctx ends first.
+// Put adds an item, waiting while the queue is full; it returns the error of ctx if ctx ends first.
 func (r *Ring[T]) Put(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -32,7 +32,7 @@
 	}
 }
 
-// Take removes the oldest item, waiting while the ring is empty; it returns ctx's error if ctx ends first.
+// Take removes the oldest item, waiting while the queue is empty; it returns the error of ctx if ctx ends first.
 func (r *Ring[T]) Take(ctx context.Context) (T, error) {
 	select {
 	case item := <-r.items:
@@ -43,7 +43,7 @@
 	}
 }
 
-// Poll removes the oldest item and reports false at once if the ring is empty.
+// Poll removes the oldest item without waiting; it reports false if the queue is empty.
 func (r *Ring[T]) Poll() (T, bool) {
 	select {
 	case item := <-r.items:
@@ -54,5 +54,5 @@
 	}
 }
 
-// Len returns the number of items in the ring.
+// Len returns the number of items in the queue.
 func (r *Ring[T]) Len() int { return len(r.items) }
--- a/settings/check.go
+++ b/settings/check.go
@@ -49,7 +49,7 @@
 
 func checkAddress(text string) string {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		return "an address is an IP number and a port; host names are not accepted"
+		return "an address is an IP address and a port; host names are not accepted"
 	}
 	return ""
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,7 +1,8 @@
-// Package settings reads a daemon's settings from flags and environment variables.
+// Package settings loads a daemon's settings from flags and environment variables.
 //
-// The schema names each setting, its kind, default and bounds. A flag bears
-// the setting's name, the environment variable the same name in upper case
-// behind ARBUTUSREEL_; a flag goes before the variable, and the variable
-// before the default. Load checks all settings and returns every fault at once.
+// The schema defines the name, kind, default and bounds of each setting. A
+// flag has the setting's name, and the environment variable the same name in
+// upper case with the prefix ARBUTUSREEL_. A flag takes precedence over the
+// variable, and the variable over the default. Load checks all settings and
+// returns all faults together.
 package settings
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -6,17 +6,17 @@
 	"arbutusreel/fault"
 )
 
-// Fault is one setting whose text is not valid; Value is the text as given.
+// Fault describes one invalid setting; Value is its text as given.
 type Fault struct {
 	Setting string
 	Value   string
 	Reason  string
 }
 
-// Error names the setting, its text and the reason.
+// Error returns the setting, its text and the reason.
 func (f Fault) Error() string {
 	return fmt.Sprintf("setting %q: value %q: %s", f.Setting, f.Value, f.Reason)
 }
 
-// Faults is every fault of a set of settings.
+// Faults is the list of all faults of a set of settings.
 type Faults = fault.List[Fault]
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -8,7 +8,8 @@
 	"arbutusreel/wiregen"
 )
 
-// FuzzLoad gives any text to any setting of an entry and checks that what was taken lies within the bounds.
+// FuzzLoad sets one setting of an entry to arbitrary text and checks that the accepted values are within their
+// bounds.
 func FuzzLoad(f *testing.F) {
 	f.Add("announcementLease", "3s")
 	f.Add("announcementLease", "9223372036854775807ns")
--- a/settings/load.go
+++ b/settings/load.go
@@ -14,13 +14,13 @@
 	"arbutusreel/wiregen"
 )
 
-// envPrefix stands before the name of each environment variable.
+// envPrefix is the prefix of the name of each environment variable.
 const envPrefix = "ARBUTUSREEL_"
 
-// listSeparator stands between the items of a list setting.
+// listSeparator separates the items of a list setting.
 const listSeparator = ","
 
-// Flags is the text of each setting given on the command line, by setting name.
+// Flags maps setting names to the texts given on the command line.
 type Flags map[string]*string
 
 // Binder registers one flag with its description on a command.
@@ -28,7 +28,8 @@
 	String(value *string, short, long, description string)
 }
 
-// Bind registers a flag for each setting of m and returns the texts that parsing fills.
+// Bind registers a flag for each setting of m and returns the flags, whose texts are set when the command line is
+// parsed.
 func Bind(b Binder, m proto.Message) Flags {
 	flags := Flags{}
 	for _, s := range Describe(m) {
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// lookupText returns the setting's text from the flag, the environment variable or the default, in this order.
+// lookupText returns the setting's text from the flag, the environment variable or the default, in this order of
+// precedence.
 func lookupText(s Setting, flags Flags, getenv func(string) string) string {
 	if text := flags[s.Name]; text != nil && *text != "" {
 		return *text
@@ -124,7 +126,8 @@
 	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), s.checkBounds(millisAwayFromZero(d))
 }
 
-// millisAwayFromZero returns d in milliseconds, rounded away from zero so that no part of one lies beyond a bound.
+// millisAwayFromZero returns d in milliseconds, rounded away from zero so that a bound exceeded by a fraction of a
+// millisecond is detected.
 func millisAwayFromZero(d time.Duration) int64 {
 	n := d.Milliseconds()
 	switch {
@@ -150,7 +153,7 @@
 	Type     string
 }
 
-// checkBounds returns why n lies outside the checkBounds, or "" if it does not.
+// checkBounds returns why n lies outside the bounds, or "" if it does not.
 func (s Setting) checkBounds(n int64) string {
 	if s.Min == 0 && s.Max == 0 {
 		return ""
@@ -213,7 +216,7 @@
 	return name
 }
 
-// envName turns dataFolder into ARBUTUSREEL_DATA_FOLDER.
+// envName returns the environment variable of a setting: ARBUTUSREEL_DATA_FOLDER for dataFolder.
 func envName(name string) string {
 	var b strings.Builder
 	b.WriteString(envPrefix)
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -42,7 +42,7 @@
 	}
 	want := []string{"name", "failureDomain", "callerAddress", "controls", "logLevel", "maxBodyBytes", "announcementLease"}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("settings at fault (-want +got):\n%s", diff)
+		t.Errorf("settings with faults (-want +got):\n%s", diff)
 	}
 }
 
--- a/settings/page.go
+++ b/settings/page.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// WritePage writes a Markdown table of the settings of m under the title; a failed write is returned.
+// WritePage writes the settings of m as a Markdown table under the title and returns the error of a failed write.
 func WritePage(w io.Writer, title string, m proto.Message) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n## %s\n\n", title)
