--- a/keys/files.go
+++ b/keys/files.go
@@ -6,14 +6,14 @@
 	"os"
 )
 
-// Files names the PEM files of an instance; all empty means plain.
+// Files names the PEM files of an instance; without any, connections are plain.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// check returns *IncompleteError if one file is given without another that it needs.
+// check returns *IncompleteError if a file is given without another one that it needs.
 func (f Files) check() error {
 	switch {
 	case f.Certificate == "" && f.Key == "":
@@ -28,12 +28,12 @@
 	return nil
 }
 
-// contents is what the three files hold, in the order of Files.
-type contents [3]string
+// fileContents holds the contents of the three files, in the order of Files.
+type fileContents [3]string
 
-// contents reads the files that are named; one that cannot be read returns *FileError.
-func (f Files) contents() (contents, error) {
-	var c contents
+// read returns the contents of the named files; one that cannot be read returns *FileError.
+func (f Files) read() (fileContents, error) {
+	var c fileContents
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		if name == "" {
 			continue
@@ -47,15 +47,15 @@
 	return c, nil
 }
 
-// material is what the contents of the files mean.
-type material struct {
+// parsedFiles holds the certificate and the authority that the files contain.
+type parsedFiles struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
-// parse returns the material of the contents; contents of no use return *FileError.
-func (f Files) parse(c contents) (*material, error) {
-	m := &material{}
+// parse returns the certificate and the authority in the contents; invalid contents return *FileError.
+func (f Files) parse(c fileContents) (*parsedFiles, error) {
+	m := &parsedFiles{}
 	if f.Certificate != "" {
 		pair, err := tls.X509KeyPair([]byte(c[0]), []byte(c[1]))
 		if err != nil {
--- a/settings/load.go
+++ b/settings/load.go
@@ -14,13 +14,13 @@
 	"arbutusreel/wiregen"
 )
 
-// envPrefix stands before the name of each environment variable.
+// envPrefix is the prefix of the name of each environment variable.
 const envPrefix = "ARBUTUSREEL_"
 
-// listSeparator stands between the items of a list setting.
+// listSeparator separates the items of a list setting.
 const listSeparator = ","
 
-// Flags is the text of each setting given on the command line, by setting name.
+// Flags maps setting names to the texts given on the command line.
 type Flags map[string]*string
 
 // Binder registers one flag with its description on a command.
@@ -28,7 +28,8 @@
 	String(value *string, short, long, description string)
 }
 
-// Bind registers a flag for each setting of m and returns the texts that parsing fills.
+// Bind registers a flag for each setting of m and returns the flags, whose texts are set when the command line is
+// parsed.
 func Bind(b Binder, m proto.Message) Flags {
 	flags := Flags{}
 	for _, s := range Describe(m) {
@@ -47,7 +48,7 @@
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		s := describe(field)
-		text := given(s, flags, getenv)
+		text := lookupText(s, flags, getenv)
 		if text == "" {
 			if s.Required {
 				faults = append(faults, Fault{Setting: s.Name, Reason: "the setting is required"})
@@ -67,8 +68,9 @@
 	return nil
 }
 
-// given returns the setting's text from the flag, the environment variable or the default, in this order.
-func given(s Setting, flags Flags, getenv func(string) string) string {
+// lookupText returns the setting's text from the flag, the environment variable or the default, in this order of
+// precedence.
+func lookupText(s Setting, flags Flags, getenv func(string) string) string {
 	if text := flags[s.Name]; text != nil && *text != "" {
 		return *text
 	}
@@ -84,7 +86,7 @@
 	}
 	switch field.Kind() {
 	case protoreflect.StringKind:
-		if reason := s.choice(text); reason != "" {
+		if reason := s.checkChoice(text); reason != "" {
 			return protoreflect.Value{}, reason
 		}
 		return protoreflect.ValueOfString(text), check(s.Kind, text)
@@ -99,7 +101,7 @@
 		if err != nil {
 			return protoreflect.Value{}, "the value is a whole number"
 		}
-		return protoreflect.ValueOfInt64(n), s.bounds(n)
+		return protoreflect.ValueOfInt64(n), s.checkBounds(n)
 	default:
 		return parseDuration(s, text)
 	}
@@ -121,11 +123,12 @@
 	if err != nil {
 		return protoreflect.Value{}, "the value is a duration such as 250ms or 3s"
 	}
-	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), s.bounds(wholeMillis(d))
+	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), s.checkBounds(millisAwayFromZero(d))
 }
 
-// wholeMillis returns d in milliseconds, rounded away from zero so that no part of one lies beyond a bound.
-func wholeMillis(d time.Duration) int64 {
+// millisAwayFromZero returns d in milliseconds, rounded away from zero so that a bound exceeded by a fraction of a
+// millisecond is detected.
+func millisAwayFromZero(d time.Duration) int64 {
 	n := d.Milliseconds()
 	switch {
 	case d > time.Duration(n)*time.Millisecond:
@@ -150,8 +153,8 @@
 	Type     string
 }
 
-// bounds returns why n lies outside the bounds, or "" if it does not.
-func (s Setting) bounds(n int64) string {
+// checkBounds returns why n lies outside the bounds, or "" if it does not.
+func (s Setting) checkBounds(n int64) string {
 	if s.Min == 0 && s.Max == 0 {
 		return ""
 	}
@@ -161,8 +164,8 @@
 	return ""
 }
 
-// choice returns why the text is none of the choices, or "" if it is one or there are none.
-func (s Setting) choice(text string) string {
+// checkChoice returns why the text is none of the choices, or "" if it is one or there are none.
+func (s Setting) checkChoice(text string) string {
 	if len(s.Choices) == 0 || slices.Contains(s.Choices, text) {
 		return ""
 	}
@@ -213,7 +216,7 @@
 	return name
 }
 
-// envName turns dataFolder into ARBUTUSREEL_DATA_FOLDER.
+// envName returns the environment variable of a setting: ARBUTUSREEL_DATA_FOLDER for dataFolder.
 func envName(name string) string {
 	var b strings.Builder
 	b.WriteString(envPrefix)
