--- a/entry/announce.go
+++ b/entry/announce.go
@@ -10,18 +10,19 @@
 	"arbutusreel/wiregen"
 )
 
-// announceEntries is how many entries an endpoint is told of: the one that takes its announcements and a fall-back.
-const announceEntries = 2
+// announcementEntries is how many entries an endpoint is given to announce itself to: the one that receives its
+// announcements and a fallback.
+const announcementEntries = 2
 
-// endpointHandler serves the endpoints of the region.
+// endpointHandler returns the handler of the HTTP server for the region's endpoints.
 func (n *Entry) endpointHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/announcements", n.takeAnnouncement)
+	mux.HandleFunc("POST /v1/announcements", n.handleAnnouncement)
 	return mux
 }
 
-// takeAnnouncement takes an announcement of an endpoint of the own region, whole or as a renewal.
-func (n *Entry) takeAnnouncement(w http.ResponseWriter, r *http.Request) {
+// handleAnnouncement accepts an announcement of an endpoint of this region, either in full or as a renewal.
+func (n *Entry) handleAnnouncement(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAnnouncement))
 	if err != nil {
 		problem.Write(w, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "an announcement has at most %d bytes", maxAnnouncement), "")
@@ -33,7 +34,7 @@
 		return
 	}
 	if m.GetRenews() > 0 {
-		n.takeRenewal(w, m)
+		n.handleRenewal(w, m)
 		return
 	}
 	e, err := wire.DecodeAnnouncement(n.state.now(), m)
@@ -42,17 +43,18 @@
 		return
 	}
 	if e.Region != n.cfg.Self.Region {
-		problem.Write(w, problem.New(problem.Forbidden, http.StatusForbidden, "endpoint %q is of region %q; this instance is of region %q", e.Name, e.Region, n.cfg.Self.Region), "")
+		problem.Write(w, problem.New(problem.Forbidden, http.StatusForbidden, "endpoint %q is in region %q; this instance is in region %q", e.Name, e.Region, n.cfg.Self.Region), "")
 		return
 	}
 	if n.state.announce(e, n.cfg.AnnouncementLease) {
-		n.log.Debug().Str("endpoint", e.Name).Bool("leaving", e.Leaving).Msg("announced")
+		n.log.Debug().Str("endpoint", e.Name).Bool("leaving", e.Leaving).Msg("announcement accepted")
 	}
 	n.replyAnnouncement(w, e.Name)
 }
 
-// takeRenewal renews a lease; without a body it says that nothing has changed.
-func (n *Entry) takeRenewal(w http.ResponseWriter, m *wiregen.Announcement) {
+// handleRenewal renews an endpoint's lease. A reply without a body means that nothing has changed. If this instance
+// doesn't hold the announcement that is renewed, the reply asks for a full one.
+func (n *Entry) handleRenewal(w http.ResponseWriter, m *wiregen.Announcement) {
 	r, err := wire.DecodeRenewal(n.state.now(), m)
 	if err != nil {
 		problem.Write(w, problem.New(problem.MalformedRequest, http.StatusBadRequest, "%s", err.Error()), "")
@@ -66,7 +68,8 @@
 	writeReply(w, http.StatusOK, &wiregen.AnnouncementReply{WantsWhole: true})
 }
 
-// replyAnnouncement answers with the lease and the entries that take the endpoint's next announcements.
+// replyAnnouncement replies with the duration of the lease and the addresses of the entries for the endpoint's next
+// announcements.
 func (n *Entry) replyAnnouncement(w http.ResponseWriter, endpoint string) {
 	reply := &wiregen.AnnouncementReply{LeaseMillis: n.cfg.AnnouncementLease.Milliseconds()}
 	var addresses []string
@@ -75,6 +78,6 @@
 			addresses = append(addresses, e.EndpointAddress)
 		}
 	}
-	reply.Entries = membership.Rendezvous(endpoint, addresses, announceEntries)
+	reply.Entries = membership.Rendezvous(endpoint, addresses, announcementEntries)
 	writeReply(w, http.StatusOK, reply)
 }
--- a/entry/announce_test.go
+++ b/entry/announce_test.go
@@ -20,7 +20,7 @@
 	"arbutusreel/wiregen"
 )
 
-// wholeAnnouncement returns what the endpoint i says at first.
+// wholeAnnouncement returns the full announcement of endpoint i.
 func wholeAnnouncement(i int, sequence int64) *wiregen.Announcement {
 	return &wiregen.Announcement{
 		Name: fmt.Sprint("engine-lahore-", i), Incarnation: 1796334829000000000, Sequence: sequence, Address: "10.100.200.30:9000",
@@ -36,7 +36,7 @@
 	return &wiregen.Announcement{Name: fmt.Sprint("engine-lahore-", i), Incarnation: 1796334829000000000, Sequence: sequence, Renews: whole, Load: load}
 }
 
-// post sends an announcement and returns the status and the reply.
+// post sends an announcement, without a User-Agent header if lean is set, and returns the status and the reply.
 func post(tb testing.TB, client *http.Client, address string, m *wiregen.Announcement, lean bool) (int, *wiregen.AnnouncementReply) {
 	body, err := protojson.Marshal(m)
 	if err != nil {
@@ -80,7 +80,7 @@
 		wait      time.Duration
 		message   *wiregen.Announcement
 		wantWhole bool
-		// wantSequence and wantQueued are of the endpoint that is known, or 0 if it is not.
+		// wantSequence and wantQueued are those of the known endpoint, or 0 if none is known.
 		wantSequence int64
 		wantQueued   int
 	}{
@@ -101,7 +101,7 @@
 		if reply.GetWantsWhole() != step.wantWhole {
 			t.Errorf("%s: wants whole %v", step.name, reply.GetWantsWhole())
 		}
-		n.state.viewAt = time.Time{}
+		n.state.endpointViewAt = time.Time{}
 		endpoints := n.state.Endpoints()
 		switch {
 		case len(endpoints) != min(1, int(step.wantSequence)):
@@ -140,7 +140,7 @@
 	return n, err
 }
 
-// BenchmarkAnnouncement measures the bytes on HTTP's connections and the processor time of both sides for one announcement.
+// BenchmarkAnnouncement measures the bytes on the HTTP connections and the CPU time of both sides per announcement.
 func BenchmarkAnnouncement(b *testing.B) {
 	modes := []struct {
 		name    string
@@ -157,7 +157,7 @@
 		for _, endpoints := range []int{10, 100, 295} {
 			b.Run(fmt.Sprintf("%s/endpoints=%d", mode.name, endpoints), func(b *testing.B) {
 				n := New(Config{Self: membership.Entry{Name: "entry", Region: "lahore", EndpointAddress: "10.100.200.30:8081"}, AnnouncementLease: time.Hour}, zerolog.Nop(), time.Now)
-				n.state.hear(n.cfg.Self)
+				n.state.updateEntry(n.cfg.Self)
 				var count atomic.Int64
 				server := httptest.NewUnstartedServer(n.endpointHandler())
 				server.Listener = countingListener{server.Listener, &count}
@@ -169,7 +169,7 @@
 					post(b, client, address, wholeAnnouncement(i, 1), mode.lean)
 				}
 				count.Store(0)
-				began := processorTime()
+				began := cpuTime()
 				sequence, sent := int64(1), 0
 				for b.Loop() {
 					if sent%endpoints == 0 {
@@ -181,14 +181,14 @@
 					sent++
 				}
 				b.ReportMetric(float64(count.Load())/float64(sent), "B/announcement")
-				b.ReportMetric(float64((processorTime()-began).Microseconds())/float64(sent), "cpu-us/announcement")
+				b.ReportMetric(float64((cpuTime()-began).Microseconds())/float64(sent), "cpu-us/announcement")
 			})
 		}
 	}
 }
 
-// processorTime returns the time that the process has spent on processors.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by the process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -29,10 +29,10 @@
 	correlationHeader = "X-Correlation-Id"
 )
 
-// retryAfterStopping is when a caller of a stopping entry may use another one.
+// retryAfterStopping is the delay after which a caller may retry a request at another entry.
 const retryAfterStopping = time.Second
 
-// callerHandler serves callers, health and metrics.
+// callerHandler returns the handler of the HTTP server for callers and operators, with health checks and metrics.
 func (n *Entry) callerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", n.authenticated(n.listEntries))
@@ -45,14 +45,14 @@
 	mux.HandleFunc("POST /v1/repair", guard.Handle(n.settleDoubtful))
 	mux.HandleFunc(operator.DecisionsRoute, guard.Handle(operator.Decisions(n.cfg.Decisions)))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	mux.HandleFunc("GET /readyz", n.tellReady)
+	mux.HandleFunc("GET /readyz", n.writeReadiness)
 	mux.HandleFunc("GET /debug/vars", metrics.Handler)
 	mux.HandleFunc("/", n.unknownRoute(mux))
-	return n.guard(mux)
+	return n.middleware(mux)
 }
 
-// tellReady tells the revision in force, where it came from, and whether callers may use the entry.
-func (n *Entry) tellReady(w http.ResponseWriter, _ *http.Request) {
+// writeReadiness replies with the revision in force, its source, and whether the entry is ready for callers.
+func (n *Entry) writeReadiness(w http.ResponseWriter, _ *http.Request) {
 	n.state.mu.Lock()
 	revision, source := n.state.revision, n.state.source
 	n.state.mu.Unlock()
@@ -63,35 +63,35 @@
 	writeReply(w, status, &wiregen.ReadyReply{Revision: revision, Source: source, Leaving: n.leaving.Load(), LedgerFatalDomain: n.domains.fatal()})
 }
 
-// caller is an authenticated request of a team.
+// caller is the context of an authenticated request: the team, the inventory in force and the correlation ID.
 type caller struct {
 	team          inventory.Team
 	inventory     *inventory.Inventory
 	correlationID string
 }
 
-// authenticated counts a request in progress and passes it on with its team.
+// authenticated wraps a handler: it counts the request as in progress, authenticates it, and passes its team on.
 func (n *Entry) authenticated(handle func(http.ResponseWriter, *http.Request, caller)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n.active.Add(1)
 		defer n.active.Add(-1)
 		n.metrics.Begin()
 		defer n.metrics.End()
-		c := caller{correlationID: correlationOf(r.Context())}
+		c := caller{correlationID: correlationID(r.Context())}
 		if n.closed.Load() {
-			n.fail(w, c, beforeLedger(keyOf(r), n.stopping()))
+			n.fail(w, c, unknownOutcomeIfKeyed(idempotencyKey(r), n.stopping()))
 			return
 		}
 		var err error
 		if c.inventory, c.team, err = n.authenticate(r); err != nil {
-			n.fail(w, c, beforeLedger(keyOf(r), err))
+			n.fail(w, c, unknownOutcomeIfKeyed(idempotencyKey(r), err))
 			return
 		}
 		handle(w, r, c)
 	}
 }
 
-// authenticate returns the team whose token the request bears.
+// authenticate returns the inventory in force and the team to which the bearer token of the request belongs.
 func (n *Entry) authenticate(r *http.Request) (*inventory.Inventory, inventory.Team, error) {
 	inv, _ := n.state.Inventory()
 	if inv == nil {
@@ -99,7 +99,7 @@
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return nil, inventory.Team{}, problem.New(problem.Unauthenticated, http.StatusUnauthorized, "the request bears no token")
+		return nil, inventory.Team{}, problem.New(problem.Unauthenticated, http.StatusUnauthorized, "the request has no bearer token")
 	}
 	digest := sha256.Sum256([]byte(token))
 	team, ok := inv.TeamByCredential(hex.EncodeToString(digest[:]))
@@ -109,11 +109,11 @@
 	return inv, team, nil
 }
 
-// fail logs a failure without content and answers with its problem.
+// fail logs a failure, without any content of the request, and replies with its problem.
 func (n *Entry) fail(w http.ResponseWriter, c caller, err error) {
 	p := problem.From(err)
 	n.logFailure(c, p, err)
-	n.limitWrite(w)
+	n.setWriteTimeout(w)
 	if p.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", "Bearer")
 	}
@@ -134,11 +134,11 @@
 		Msg("failed")
 }
 
-// body reads the whole body of a request within the bounds, and ends the time limit for it.
-func (n *Entry) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+// readBody reads the body of a request up to the maximum size and clears the read deadline that middleware has set.
+func (n *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, n.cfg.MaxBodyBytes))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, problem.New(problem.BodyTimeout, http.StatusRequestTimeout, "a body is sent within %s", n.cfg.BodyTimeout)
+		return nil, problem.New(problem.BodyTimeout, http.StatusRequestTimeout, "the request body was not received within %s", n.cfg.BodyTimeout)
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -151,7 +151,7 @@
 	return b, nil
 }
 
-// class returns the class that the request asks for, or the team's default.
+// class returns the class that the request names, or the team's default class.
 func (c caller) class(r *http.Request) (inventory.Class, error) {
 	name := r.Header.Get(classHeader)
 	if name == "" {
@@ -167,7 +167,7 @@
 	return class, nil
 }
 
-// labels returns the team's labels and those that the request adds.
+// labels returns the labels of the team and those that the request adds.
 func (c caller) labels(r *http.Request) ([]string, error) {
 	labels := slices.Clone(c.team.Labels)
 	for name := range strings.SplitSeq(r.Header.Get(labelsHeader), ",") {
@@ -183,9 +183,10 @@
 	return labels, nil
 }
 
-// listEntries answers which entries the caller may use now: those of its home region, or all that its data may be sent to if there are none.
+// listEntries replies with the entries that the caller may use: those of its home region or, if there are none, all to
+// which its data may be sent.
 func (n *Entry) listEntries(w http.ResponseWriter, _ *http.Request, c caller) {
-	live := slices.DeleteFunc(usable(c.inventory, c.team, n.state.live()), func(e membership.Entry) bool { return e.Leaving })
+	live := slices.DeleteFunc(allowedEntries(c.inventory, c.team, n.state.live()), func(e membership.Entry) bool { return e.Leaving })
 	home := slices.DeleteFunc(slices.Clone(live), func(e membership.Entry) bool { return e.Region != c.team.HomeRegion })
 	if len(home) == 0 {
 		home = live
@@ -193,6 +194,6 @@
 	writeReply(w, http.StatusOK, &wiregen.EntriesReply{
 		Entries:   wire.EncodeEntries(home),
 		Epoch:     n.epochToken(c.team.HomeRegion),
-		TtlMillis: entriesTTL.Milliseconds(),
+		TtlMillis: entryListTTL.Milliseconds(),
 	})
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -9,7 +9,7 @@
 	"arbutusreel/metrics"
 )
 
-// Config is what an entry needs to know at its start.
+// Config holds the settings of an entry.
 type Config struct {
 	Self     membership.Entry
 	Controls []string
@@ -18,7 +18,7 @@
 	Peers            []string
 	DirectoryAddress string
 	MaxBodyBytes     int64
-	// RequestBytes is the memory for requests in progress.
+	// RequestBytes is the memory budget of the requests in progress, in bytes.
 	RequestBytes      int64
 	MaxHeaderBytes    int
 	AnnouncementLease time.Duration
@@ -26,22 +26,22 @@
 	DrainTimeout      time.Duration
 	ReaderTimeout     time.Duration
 	BodyTimeout       time.Duration
-	// Metrics counts what the entry does; nil counts for nobody.
+	// Metrics records the entry's metrics; New creates a set of its own if it is nil.
 	Metrics             *metrics.Set
 	RoutingPolicy       string
 	Seed                uint64
 	Keys                *keys.Source
 	Decisions           *decision.Store
 	OperatorTokenDigest string
-	// LedgerReplicas are the region's ledger replicas, as name=address.
+	// LedgerReplicas lists the region's ledger replicas as name=address.
 	LedgerReplicas []string
-	// DataFolder keeps the own ledger replica; empty keeps it in memory.
+	// DataFolder stores the journal of the own ledger replica; if it is empty, the replica is kept in memory.
 	DataFolder      string
 	LedgerRetention time.Duration
 	LedgerMaxCalls  int
 }
 
-// Periods and limits of the daemon's duties.
+// Periods and limits of the daemon's tasks.
 const (
 	exchangePeriod = 500 * time.Millisecond
 	publishPeriod  = time.Second
@@ -50,11 +50,11 @@
 	reportPeriod   = time.Second
 	entryTTL       = 3 * time.Second
 	summaryTTL     = 10 * time.Second
-	entriesTTL     = 2 * time.Second
+	entryListTTL   = 2 * time.Second
 	headerTimeout  = 10 * time.Second
-	// warmUp is how long an entry that knows no endpoint waits before callers may use it.
+	// warmUp is how long an entry that knows no endpoint waits after its start before it is ready for callers.
 	warmUp = time.Second
-	// callerIdleTimeout closes a caller's connection that has no request.
+	// callerIdleTimeout is how long a caller's connection may be idle before it is closed.
 	callerIdleTimeout = 2 * time.Minute
 	maxAnnouncement   = 1 << 20
 )
--- a/entry/domains.go
+++ b/entry/domains.go
@@ -9,33 +9,33 @@
 	"arbutusreel/ledger"
 )
 
-// domainsPeriod is how often the failure domains of the ledger's replicas are looked at.
-const domainsPeriod = 500 * time.Millisecond
+// domainCheckPeriod is how often the placement of the ledger replicas in failure domains is checked.
+const domainCheckPeriod = 500 * time.Millisecond
 
-// domains is what the instance knows of the failure domains of its region; it is safe for concurrent use.
+// domains holds the known failure domains of the region's instances; it is safe for concurrent use.
 type domains struct {
 	mu sync.Mutex
-	// byName keeps the domain of an instance that is gone, since its replacement takes its place.
-	byName map[string]string
-	judged ledger.Placement
+	// byName also holds the domains of instances that are gone, since a replacement is expected in the same domain.
+	byName    map[string]string
+	placement ledger.Placement
 }
 
 func newDomains() *domains { return &domains{byName: map[string]string{}} }
 
-// fatal returns the domain whose loss stops the region's ledger, or "".
+// fatal returns the failure domain whose loss would stop the region's ledger, or "" if there is none.
 func (d *domains) fatal() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.judged.Fatal
+	return d.placement.Fatal
 }
 
-// watchDomains judges the failure domains of the ledger's replicas until ctx ends.
+// watchDomains checks the placement of the ledger replicas periodically until ctx ends.
 func (n *Entry) watchDomains(ctx context.Context) {
-	every(ctx, domainsPeriod, n.judgeDomains)
+	every(ctx, domainCheckPeriod, n.checkDomains)
 }
 
-// judgeDomains logs how the ledger's replicas lie in the failure domains when that has changed.
-func (n *Entry) judgeDomains() {
+// checkDomains determines how the ledger replicas are placed in failure domains and logs a change.
+func (n *Entry) checkDomains() {
 	live := n.state.live()
 	d := n.domains
 	d.mu.Lock()
@@ -48,13 +48,13 @@
 	}
 	slots := n.ledgerGroup.Slots()
 	now := ledger.Place(slots, d.byName)
-	before := d.judged
-	d.judged = now
+	before := d.placement
+	d.placement = now
 	switch {
 	case now.Fatal == before.Fatal && slices.Equal(now.Better, before.Better):
 	case now.Fatal == "":
-		n.log.Info().Strs("replicas", slots).Msg("ledgerDomainsApart")
+		n.log.Info().Strs("replicas", slots).Msg("ledger depends on no single failure domain")
 	default:
-		n.log.Warn().Str("failureDomain", now.Fatal).Strs("replicas", slots).Strs("better", now.Better).Msg("ledgerInOneDomain")
+		n.log.Warn().Str("failureDomain", now.Fatal).Strs("replicas", slots).Strs("better", now.Better).Msg("ledger depends on one failure domain")
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -32,30 +32,30 @@
 	hub        *relay.Hub
 	peers      *peers
 	dispatcher *dispatch.Dispatcher
-	rates      *rates
+	limiter    *rateLimiter
 	memory     *requestMemory
 	runner     *calls.Runner
 	demands    *demands
-	// replica is nil on an instance that is no ledger replica.
+	// replica is nil on an instance that is not a ledger replica.
 	replica     *calls.Replica
 	ledgerGroup *calls.Group
 	domains     *domains
-	began       time.Time
+	startedAt   time.Time
 	leaving     atomic.Bool
 	closed      atomic.Bool
 	active      atomic.Int64
-	// adverts counts the adverts of the own instance.
+	// adverts is the sequence number of the latest advert of this instance.
 	adverts atomic.Int64
 	done    chan struct{}
 }
 
-// New returns an entry daemon that runs when Run is called.
+// New returns an entry daemon, which starts to serve when Run is called.
 func New(cfg Config, log zerolog.Logger, now func() time.Time) *Entry {
 	s := newState(cfg.Self, now)
 	p := newPeers(s, cfg.Self.Name, cfg.Keys)
 	self := dispatch.Hop{Instance: cfg.Self.Name, Region: cfg.Self.Region}
-	d := dispatch.New(self, s, timedModels{models: endpoint.NewModels()}, endpoint.NewPlain(), p, newChooser(cfg.RoutingPolicy, now(), newSource(cfg.Seed)), now, newSource(cfg.Seed), log)
-	r := newRates(cfg.Self, now)
+	d := dispatch.New(self, s, timedModelCaller{next: endpoint.NewModels()}, endpoint.NewPlain(), p, newChooser(cfg.RoutingPolicy, now(), newRandSource(cfg.Seed)), now, newRandSource(cfg.Seed), log)
+	r := newRateLimiter(cfg.Self, now)
 	d = d.WithLimiter(r)
 	counts := cfg.Metrics
 	if counts == nil {
@@ -70,24 +70,25 @@
 		hub:        relay.NewHub(cfg.Self.Name, now),
 		peers:      p,
 		dispatcher: d,
-		rates:      r,
+		limiter:    r,
 		memory:     newRequestMemory(cfg.RequestBytes),
 		demands:    newDemands(),
 		domains:    newDomains(),
-		began:      now(),
+		startedAt:  now(),
 		done:       make(chan struct{}),
 	}
 	counts.Add(requestBytesVar, expvar.Func(func() any { return n.memory.used() }))
-	link := newLedgerLink(n, cfg.LedgerReplicas)
-	n.ledgerGroup = calls.NewGroup(link.slots(), link)
-	n.runner = calls.New(cfg.Self.Name, n.ledgerGroup, d, n.keepsAnswer, cfg.LedgerRetention, log, now)
+	client := newLedgerClient(n, cfg.LedgerReplicas)
+	n.ledgerGroup = calls.NewGroup(client.slots(), client)
+	n.runner = calls.New(cfg.Self.Name, n.ledgerGroup, d, n.mayStoreAnswer, cfg.LedgerRetention, log, now)
 	return n
 }
 
-// Done is closed when the daemon has stopped.
+// Done returns a channel that is closed when the daemon has stopped.
 func (n *Entry) Done() <-chan struct{} { return n.done }
 
-// Run serves until ctx ends and then stops gracefully; an address that cannot be served is returned as an error.
+// Run serves until ctx ends and then stops gracefully. It returns an error if an address cannot be listened on or the
+// ledger replica cannot be opened.
 func (n *Entry) Run(ctx context.Context) error {
 	defer close(n.done)
 	if err := n.openReplica(); err != nil {
@@ -98,30 +99,30 @@
 		return err
 	}
 	listeners[0] = n.cfg.Keys.Listener(listeners[0])
-	requests, cut := context.WithCancelCause(context.WithoutCancel(ctx))
-	defer cut(nil)
+	requests, cancelRequests := context.WithCancelCause(context.WithoutCancel(ctx))
+	defer cancelRequests(nil)
 	servers := n.newServers(requests)
 	wiregen.RegisterLedgerServer(servers.peers, &ledgerServer{entry: n})
-	wiregen.RegisterConfigurationServer(servers.peers, relay.NewServer(n.hub, n.heardFollower, ctx.Done()))
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	wiregen.RegisterConfigurationServer(servers.peers, relay.NewServer(n.hub, n.checkFollower, ctx.Done()))
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
 	var wg sync.WaitGroup
 	wg.Go(func() { serveHTTP(servers.callers, listeners[0]) })
 	wg.Go(func() { serveHTTP(servers.endpoints, listeners[1]) })
 	wg.Go(func() { _ = servers.peers.Serve(listeners[2]) })
-	wg.Go(func() { n.follow(work) })
-	wg.Go(func() { n.exchangeLoop(work) })
-	wg.Go(func() { n.publishLoop(work) })
-	wg.Go(func() { n.lendLoop(work) })
-	wg.Go(func() { n.expireLoop(work) })
-	wg.Go(func() { n.keepLedger(work) })
-	wg.Go(func() { n.watchDomains(work) })
+	wg.Go(func() { n.follow(background) })
+	wg.Go(func() { n.exchangeLoop(background) })
+	wg.Go(func() { n.publishLoop(background) })
+	wg.Go(func() { n.borrowLoop(background) })
+	wg.Go(func() { n.expireLoop(background) })
+	wg.Go(func() { n.runLedgerReplica(background) })
+	wg.Go(func() { n.watchDomains(background) })
 	n.log.Info().Str("callerAddress", n.cfg.Self.CallerAddress).Msg("started")
 
 	<-ctx.Done()
-	n.drain(work, cut)
-	servers.shutdown(work)
-	stop()
+	n.drain(background, cancelRequests)
+	servers.shutdown(background)
+	stopBackground()
 	wg.Wait()
 	n.peers.close()
 	n.log.Info().Msg("stopped")
@@ -147,7 +148,7 @@
 	}
 }
 
-// every calls f at the period until ctx ends.
+// every calls f at once and then once per period until ctx ends.
 func every(ctx context.Context, period time.Duration, f func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
@@ -163,9 +164,9 @@
 
 func (n *Entry) expireLoop(ctx context.Context) {
 	every(ctx, expirePeriod, func() {
-		n.dispatcher.Refresh(n.instances())
+		n.dispatcher.Refresh(n.servingEntries())
 		for _, e := range n.state.expire() {
-			n.log.Info().Str("endpoint", e.Name).Str("service", e.Service).Bool("leaving", e.Leaving).Msg("endpointExpired")
+			n.log.Info().Str("endpoint", e.Name).Str("service", e.Service).Bool("leaving", e.Leaving).Msg("endpoint lease expired")
 		}
 	})
 }
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// ReaderStoppedError says that a caller took no byte of its answer for a time.
+// ReaderStoppedError reports that a caller has not read any byte of its answer within the timeout.
 type ReaderStoppedError struct {
 	Timeout time.Duration
 }
 
-// Error names the time.
+// Error returns a message with the timeout.
 func (e *ReaderStoppedError) Error() string {
 	return fmt.Sprintf("the caller has read nothing for %s", e.Timeout)
 }
 
-// AnswerTooLargeError says that an answer that is not streamed exceeds its bound.
+// AnswerTooLargeError reports that an answer that is not streamed exceeds the limit, in bytes.
 type AnswerTooLargeError struct {
 	Limit int
 }
 
-// Error names the bound.
+// Error returns a message with the limit.
 func (e *AnswerTooLargeError) Error() string {
 	return fmt.Sprintf("an answer that is not streamed has at most %d bytes", e.Limit)
 }
 
-// PeerUnreachableError says that no connection to an entry could be made, so that nothing was sent.
+// PeerUnreachableError reports that no connection to an entry could be established, so that nothing was sent.
 type PeerUnreachableError struct {
 	Address string
 }
 
-// Error names the address.
+// Error returns a message with the address.
 func (e *PeerUnreachableError) Error() string {
 	return fmt.Sprintf("entry at %s cannot be reached", e.Address)
 }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -12,35 +12,36 @@
 	"arbutusreel/wiregen"
 )
 
-// exchangeTimeout bounds one exchange with a peer.
+// exchangeTimeout is the timeout of one exchange with a peer.
 const exchangeTimeout = time.Second
 
-// exchangeLoop asks a few peers for what the instance does not know; one that does not answer holds up no other.
+// exchangeLoop periodically requests missing state from a few peers. The exchanges run concurrently, so that a peer
+// that doesn't answer delays none of the others.
 func (n *Entry) exchangeLoop(ctx context.Context) {
-	rng := n.exchangeSource()
+	rng := n.newExchangeRand()
 	var busy sync.Map
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	every(ctx, exchangePeriod, func() {
-		self := n.self()
-		n.state.hear(self)
-		n.state.tell(self)
+		self := n.selfAdvert()
+		n.state.updateEntry(self)
+		n.state.updateGossip(self)
 		for _, p := range n.state.drawPartners(self, n.cfg.Peers, rng) {
 			if _, loaded := busy.LoadOrStore(p.address, true); loaded {
 				continue
 			}
 			wg.Go(func() {
 				defer busy.Delete(p.address)
-				if err := n.exchangeOne(ctx, p); err != nil && ctx.Err() == nil {
-					n.log.Debug().Str("peer", p.address).Err(err).Msg("peerUnreachable")
+				if err := n.exchangeWith(ctx, p); err != nil && ctx.Err() == nil {
+					n.log.Debug().Str("peer", p.address).Err(err).Msg("peer unreachable")
 				}
 			})
 		}
 	})
 }
 
-// exchangeSource returns the random source of the exchange, which differs between instances with one seed.
-func (n *Entry) exchangeSource() *rand.Rand {
+// newExchangeRand returns the random source that selects partners; instances with the same seed get different sources.
+func (n *Entry) newExchangeRand() *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(n.cfg.Self.Name))
 	seed := n.cfg.Seed
@@ -50,7 +51,8 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-func (n *Entry) exchangeOne(ctx context.Context, p partner) error {
+// exchangeWith runs one exchange with a partner and applies the reply.
+func (n *Entry) exchangeWith(ctx context.Context, p partner) error {
 	client, err := n.peers.client(p.address)
 	if err != nil {
 		return err
@@ -62,29 +64,30 @@
 	if err != nil {
 		return err
 	}
-	n.learn(marks, reply)
+	n.applyReply(marks, reply)
 	return nil
 }
 
-// asked is the marks of a request, which its reply refers to.
-type asked struct {
+// exchangeMarks holds the marks that a request carries and to which the reply refers.
+type exchangeMarks struct {
 	local, global []membership.Mark
 }
 
-// exchangeRequest returns a request and its marks; a partner that knows the instance gets no advert, but for one that leaves.
-func (n *Entry) exchangeRequest(p partner) (*wiregen.ExchangeRequest, asked) {
+// exchangeRequest returns a request and its marks. A partner that already knows this instance is sent no advert, unless
+// the instance is leaving.
+func (n *Entry) exchangeRequest(p partner) (*wiregen.ExchangeRequest, exchangeMarks) {
 	marks := n.state.marks(p)
-	self := n.self()
+	self := n.selfAdvert()
 	m := &wiregen.ExchangeRequest{
 		Sender:        n.cfg.Self.Name,
 		Region:        n.cfg.Self.Region,
 		WithoutLocal:  !p.local,
 		WithoutGlobal: !p.global,
 	}
-	if !p.knows || self.Leaving {
+	if !p.knowsSelf || self.Leaving {
 		m.Entries = []*wiregen.EntryAdvert{wire.EncodeEntry(self)}
 	}
-	// The sequence of the advert is the salt: it differs between requests.
+	// The advert's sequence serves as salt, since it differs from request to request.
 	salt := uint64(self.Sequence)
 	if p.local {
 		m.Local = wire.EncodeMarks(salt, marks.local)
@@ -95,31 +98,31 @@
 	return m, marks
 }
 
-// Exchange answers a peer with what it does not know.
+// Exchange replies to a peer with the state that it lacks.
 func (n *Entry) Exchange(ctx context.Context, m *wiregen.ExchangeRequest) (*wiregen.ExchangeReply, error) {
 	if err := n.checkClaim(ctx, m.GetSender(), m.GetRegion()); err != nil {
 		return nil, err
 	}
 	for _, e := range wire.DecodeEntries(m.GetEntries()) {
-		n.state.hear(e)
+		n.state.updateEntry(e)
 	}
 	reply := &wiregen.ExchangeReply{}
-	if self := n.self(); len(m.GetEntries()) > 0 || self.Leaving {
+	if self := n.selfAdvert(); len(m.GetEntries()) > 0 || self.Leaving {
 		reply.Entries = []*wiregen.EntryAdvert{wire.EncodeEntry(self)}
 	}
-	n.state.answer(m, reply)
+	n.state.addMissing(m, reply)
 	return reply, nil
 }
 
-// learn takes what a peer told.
-func (n *Entry) learn(marks asked, reply *wiregen.ExchangeReply) {
+// applyReply merges a peer's reply into the known state.
+func (n *Entry) applyReply(marks exchangeMarks, reply *wiregen.ExchangeReply) {
 	for _, e := range wire.DecodeEntries(reply.GetEntries()) {
-		n.state.hear(e)
+		n.state.updateEntry(e)
 	}
-	n.state.learn(marks, reply)
+	n.state.applyReply(marks, reply)
 }
 
-// endpointStates returns the messages of endpoints with what is left of their leases.
+// endpointStates encodes endpoints with the remaining time of their leases.
 func (n *Entry) endpointStates(endpoints []membership.Endpoint) []*wiregen.EndpointState {
 	states := make([]*wiregen.EndpointState, 0, len(endpoints))
 	for _, e := range endpoints {
--- a/entry/exchange_test.go
+++ b/entry/exchange_test.go
@@ -15,8 +15,8 @@
 	"arbutusreel/wiregen"
 )
 
-// crowd is the entries of a system in one process, which exchange by calls and count their bytes.
-type crowd struct {
+// cluster is a set of entries in one process that exchange state by direct calls and count the bytes of their messages.
+type cluster struct {
 	now       time.Time
 	entries   []*Entry
 	byAddress map[string]*Entry
@@ -27,9 +27,9 @@
 	sequence  int64
 }
 
-// newCrowd returns regions with the same number of entries and endpoints.
-func newCrowd(regions, entries, endpoints int) *crowd {
-	c := &crowd{now: time.Unix(1000, 0), byAddress: map[string]*Entry{}, bytes: map[*Entry]int{}, sources: map[*Entry]*rand.Rand{}, endpoints: endpoints, regions: regions}
+// newCluster returns a cluster of regions with the same number of entries and endpoints each.
+func newCluster(regions, entries, endpoints int) *cluster {
+	c := &cluster{now: time.Unix(1000, 0), byAddress: map[string]*Entry{}, bytes: map[*Entry]int{}, sources: map[*Entry]*rand.Rand{}, endpoints: endpoints, regions: regions}
 	var seeds []string
 	for r := range regions {
 		for e := range entries {
@@ -44,7 +44,7 @@
 			n := New(Config{Self: self, Seed: 1}, zerolog.Nop(), func() time.Time { return c.now })
 			c.entries = append(c.entries, n)
 			c.byAddress[address] = n
-			c.sources[n] = n.exchangeSource()
+			c.sources[n] = n.newExchangeRand()
 		}
 	}
 	for _, n := range c.entries {
@@ -53,8 +53,8 @@
 	return c
 }
 
-// announce lets the endpoints of each region announce themselves to their entries, with a changed load.
-func (c *crowd) announce() {
+// announce makes the endpoints of each region announce themselves to their entries with a changed load.
+func (c *cluster) announce() {
 	c.sequence++
 	byRegion := map[string][]string{}
 	for _, n := range c.entries {
@@ -74,16 +74,16 @@
 	}
 }
 
-// period runs one period of every entry and counts the bytes of the messages without those of gRPC.
-func (c *crowd) period(tb testing.TB) {
+// runPeriod runs one exchange period of every entry and counts the bytes of the messages without gRPC framing.
+func (c *cluster) runPeriod(tb testing.TB) {
 	for _, n := range c.entries {
-		self := n.self()
+		self := n.selfAdvert()
 		self.Leaving = false
-		n.state.hear(self)
-		n.state.tell(self)
+		n.state.updateEntry(self)
+		n.state.updateGossip(self)
 		for _, p := range n.state.drawPartners(self, n.cfg.Peers, c.sources[n]) {
 			request, marks := n.exchangeRequest(p)
-			request.Entries = serving(request.Entries, p.knows)
+			request.Entries = asServing(request.Entries, p.knowsSelf)
 			peer := c.byAddress[p.address]
 			if peer == nil {
 				continue // The entry was killed.
@@ -92,8 +92,8 @@
 			if err != nil {
 				tb.Fatal(err)
 			}
-			reply.Entries = serving(reply.Entries, p.knows)
-			n.learn(marks, reply)
+			reply.Entries = asServing(reply.Entries, p.knowsSelf)
+			n.applyReply(marks, reply)
 			size := proto.Size(request) + proto.Size(reply)
 			c.bytes[n] += size
 			c.bytes[peer] += size
@@ -102,9 +102,10 @@
 	c.now = c.now.Add(exchangePeriod)
 }
 
-// serving undoes that an entry which does not serve says that it leaves, and leaves out adverts that one which serves does not send.
-func serving(adverts []*wiregen.EntryAdvert, knows bool) []*wiregen.EntryAdvert {
-	if knows {
+// asServing adjusts adverts to those of serving entries: entries under test are not ready and would advertise that they
+// are leaving, and a serving entry sends no advert to a peer that knows it.
+func asServing(adverts []*wiregen.EntryAdvert, knowsSelf bool) []*wiregen.EntryAdvert {
+	if knowsSelf {
 		return nil
 	}
 	for _, e := range adverts {
@@ -113,17 +114,18 @@
 	return adverts
 }
 
-// run runs seconds of the system.
-func (c *crowd) run(tb testing.TB, seconds int) {
+// run simulates the given number of seconds.
+func (c *cluster) run(tb testing.TB, seconds int) {
 	for range seconds {
 		c.announce()
-		c.period(tb)
-		c.period(tb)
+		c.runPeriod(tb)
+		c.runPeriod(tb)
 	}
 }
 
+// TestExchangeSpreads checks that state reaches all entries, and that killed entries and silent endpoints expire.
 func TestExchangeSpreads(t *testing.T) {
-	c := newCrowd(3, 5, 20)
+	c := newCluster(3, 5, 20)
 	c.run(t, 12)
 	for _, n := range c.entries {
 		if got := len(n.state.live()); got != 15 {
@@ -132,7 +134,7 @@
 		if got := len(n.state.Endpoints()); got != 20 {
 			t.Errorf("%s knows %d endpoints, want 20", n.cfg.Self.Name, got)
 		}
-		// A load that is told alone joins what was told of its endpoint before.
+		// A load that is reported separately is joined with the earlier data of its endpoint.
 		for _, e := range n.state.Endpoints() {
 			if age := c.now.Sub(e.Load.At); age > 6*time.Second || len(e.Models) != 1 || e.Load.Queued != int(e.Sequence%7) {
 				t.Errorf("%s knows %s with a load of %s ago: %+v", n.cfg.Self.Name, e.Name, age, e)
@@ -146,14 +148,14 @@
 	c.entries = c.entries[1:]
 	delete(c.byAddress, killed.cfg.Self.PeerAddress)
 	for range 24 {
-		c.period(t)
+		c.runPeriod(t)
 	}
 	for _, n := range c.entries {
 		if got := len(n.state.live()); got != 14 {
 			t.Errorf("%s knows %d entries after one was killed, want 14", n.cfg.Self.Name, got)
 		}
 	}
-	// Endpoints that fall silent are gone everywhere some periods after their lease.
+	// Endpoints that stop announcing expire at all entries some periods after their lease.
 	for _, n := range c.entries {
 		if got := len(n.state.Endpoints()); got != 0 {
 			t.Errorf("%s knows %d silent endpoints", n.cfg.Self.Name, got)
@@ -161,10 +163,11 @@
 	}
 }
 
+// TestGatewayTakesOver checks that the known entries and summaries stay complete after gateways were killed.
 func TestGatewayTakesOver(t *testing.T) {
 	for _, kills := range []int{1, 2} {
 		t.Run(fmt.Sprint(kills, " gateways killed"), func(t *testing.T) {
-			c := newCrowd(3, 8, 8)
+			c := newCluster(3, 8, 8)
 			c.run(t, 40)
 			c.killGateways(kills)
 			for second := range 60 {
@@ -177,8 +180,8 @@
 	}
 }
 
-// killGateways kills gateways of the first region, the one that tells first.
-func (c *crowd) killGateways(count int) {
+// killGateways kills gateways of the first region, starting with the one that reports it.
+func (c *cluster) killGateways(count int) {
 	names := membership.Rendezvous("region-0", entryNames(c.entries[0].state.regionEntries(c.now)), count)
 	c.entries = slices.DeleteFunc(c.entries, func(n *Entry) bool {
 		killed := slices.Contains(names, n.cfg.Self.Name)
@@ -189,8 +192,9 @@
 	})
 }
 
-// checkRegion checks that an entry knows all live entries of a region, in the end no others, and the other regions' summaries.
-func (c *crowd) checkRegion(t *testing.T, n *Entry, region string, live int, last bool) {
+// checkRegion checks that an entry knows all live entries of a region and the summaries of the other regions, and, if
+// last is set, that it knows no entry that was killed.
+func (c *cluster) checkRegion(t *testing.T, n *Entry, region string, live int, last bool) {
 	of := 0
 	for _, e := range n.state.live() {
 		if e.Region == region {
@@ -205,8 +209,9 @@
 	}
 }
 
-// ages returns how old the loads, the summaries and the other regions' known entries are that all entries hold.
-func (c *crowd) ages() map[string][]time.Duration {
+// ages returns the ages of the loads and summaries that all entries hold, and the numbers of unknown entries and
+// summaries as seconds.
+func (c *cluster) ages() map[string][]time.Duration {
 	ages := map[string][]time.Duration{}
 	for _, n := range c.entries {
 		for _, e := range n.state.Endpoints() {
@@ -221,11 +226,12 @@
 	return ages
 }
 
-// BenchmarkExchange measures the bytes a second that an entry sends and receives, its time and its memory, after all is known.
+// BenchmarkExchange measures the bytes per second that an entry sends and receives, its CPU share and its memory in the
+// steady state.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []struct{ regions, entries, endpoints int }{{3, 3, 10}, {7, 9, 100}, {21, 17, 295}} {
 		b.Run(fmt.Sprintf("regions=%d/entries=%d/endpoints=%d", size.regions, size.entries, size.endpoints), func(b *testing.B) {
-			c := newCrowd(size.regions, size.entries, size.endpoints)
+			c := newCluster(size.regions, size.entries, size.endpoints)
 			c.run(b, 60)
 			clear(c.bytes)
 			seconds := 0
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestStreamedAndWholeAnswers(t *testing.T) {
-	g := newGateway(t, nil)
+	g := newTestEntry(t, nil)
 	g.announce("menu-model", newEngine(0).Handler())
 	_, _, streamed := g.do(http.MethodPost, chatPath, plan, nil)
 	var text strings.Builder
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestCallerLeaves closes the caller's connection in mid-answer.
+// TestCallerLeaves checks that the engine cancels a request whose caller disconnects in the middle of the answer.
 func TestCallerLeaves(t *testing.T) {
 	for _, streaming := range []bool{true, false} {
 		t.Run(fmt.Sprintf("streaming %v", streaming), func(t *testing.T) {
-			g := newGateway(t, nil)
+			g := newTestEntry(t, nil)
 			engine := newEngine(time.Hour)
 			g.announce("menu-model", engine.Handler())
 			ctx, leave := context.WithCancel(t.Context())
@@ -67,10 +67,10 @@
 					resp.Body.Close()
 				}
 			}()
-			g.until("the engine runs the request", func() bool { return engine.Counts().PromptTokens > 0 })
+			g.waitFor("the engine runs the request", func() bool { return engine.Counts().PromptTokens > 0 })
 			leave()
-			g.until("the engine gives the request up", func() bool { return engine.Counts().Cancelled == 1 })
-			g.until("the entry holds nothing", func() bool { return g.entry.active.Load() == 0 })
+			g.waitFor("the engine cancels the request", func() bool { return engine.Counts().Cancelled == 1 })
+			g.waitFor("the entry has no request in progress", func() bool { return g.entry.active.Load() == 0 })
 			if !strings.Contains(g.log.String(), `"code":"callerGone"`) {
 				t.Errorf("log %s", g.log.String())
 			}
@@ -78,9 +78,10 @@
 	}
 }
 
-// TestReaderStops does not read an endless answer: the engine is cancelled, and little was kept in between.
+// TestReaderStops checks that an endless answer is cancelled when the caller stops reading, and that little of it is
+// buffered meanwhile.
 func TestReaderStops(t *testing.T) {
-	g := newGateway(t, func(cfg *Config) { cfg.ReaderTimeout = 200 * time.Millisecond })
+	g := newTestEntry(t, func(cfg *Config) { cfg.ReaderTimeout = 200 * time.Millisecond })
 	var sent atomic.Int64
 	cancelled := make(chan struct{})
 	g.announce("menu-model", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -102,7 +103,7 @@
 	}
 	defer resp.Body.Close()
 	<-cancelled
-	g.until("the entry holds nothing", func() bool { return g.entry.active.Load() == 0 })
+	g.waitFor("the entry has no request in progress", func() bool { return g.entry.active.Load() == 0 })
 	if !strings.Contains(g.log.String(), `"code":"readerStopped"`) {
 		t.Errorf("log %s", g.log.String())
 	}
@@ -112,9 +113,9 @@
 	}
 }
 
-// TestSlowReader reads an answer slowly and receives all of it.
+// TestSlowReader checks that a caller that reads slowly receives the complete answer.
 func TestSlowReader(t *testing.T) {
-	g := newGateway(t, func(cfg *Config) { cfg.ReaderTimeout = 5 * time.Second })
+	g := newTestEntry(t, func(cfg *Config) { cfg.ReaderTimeout = 5 * time.Second })
 	g.announce("menu-model", newEngine(0).Handler())
 	resp, err := g.server.Client().Do(g.request(t.Context(), http.MethodPost, chatPath, plan, nil))
 	if err != nil {
@@ -132,11 +133,12 @@
 	}
 }
 
-// TestCallReaderStops does not read the answer of a call: it is given up, and does not hold up a stop.
+// TestCallReaderStops checks that a call's answer is abandoned when the caller doesn't read it, so that it cannot delay
+// a stop.
 func TestCallReaderStops(t *testing.T) {
-	g := newGateway(t, func(cfg *Config) { cfg.ReaderTimeout = 200 * time.Millisecond })
+	g := newTestEntry(t, func(cfg *Config) { cfg.ReaderTimeout = 200 * time.Millisecond })
 	handler := g.entry.authenticated(func(w http.ResponseWriter, _ *http.Request, _ caller) {
-		g.entry.limitWrite(w)
+		g.entry.setWriteTimeout(w)
 		part := make([]byte, 1<<20)
 		for range 256 {
 			if _, err := w.Write(part); err != nil {
@@ -156,5 +158,5 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	g.until("the entry holds nothing", func() bool { return g.entry.active.Load() == 0 })
+	g.waitFor("the entry has no request in progress", func() bool { return g.entry.active.Load() == 0 })
 }
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -14,20 +14,20 @@
 	"arbutusreel/wiregen"
 )
 
-// followed is the entry as a follower of accepted revisions, which it passes on to other entries.
-type followed struct {
+// relayInstance adapts Entry to relay.Instance: it follows accepted revisions and relays them to other entries.
+type relayInstance struct {
 	*Entry
 }
 
-var _ relay.Instance = followed{}
+var _ relay.Instance = relayInstance{}
 
-// follow keeps the inventory up to date.
+// follow keeps the inventory up to date until ctx ends.
 func (n *Entry) follow(ctx context.Context) {
-	relay.NewFollower(n.hub, followed{n}, n.log).Run(ctx)
+	relay.NewFollower(n.hub, relayInstance{n}, n.log).Run(ctx)
 }
 
-// Sources returns whom this entry follows: the region's relays, the control voters, and its other peers.
-func (n followed) Sources() []string {
+// Sources returns the addresses that this entry may follow: the region's relays, the control voters, and other peers.
+func (n relayInstance) Sources() []string {
 	var peers []string
 	for _, e := range n.state.live() {
 		if e.Region == n.cfg.Self.Region && !e.Leaving {
@@ -37,8 +37,8 @@
 	return distribution.Sources(n.cfg.Self.Region, n.cfg.Self.PeerAddress, peers, n.cfg.Controls, n.cfg.Peers)
 }
 
-// Dial returns a connection to a voter or a peer, which must bear its name where TLS is on.
-func (n followed) Dial(address string) (*grpc.ClientConn, error) {
+// Dial returns a connection to a voter or a peer. With TLS, its certificate must carry the name known for the address.
+func (n relayInstance) Dial(address string) (*grpc.ClientConn, error) {
 	name := n.peers.nameAt(address)
 	if slices.Contains(n.cfg.Controls, address) {
 		name = n.cfg.ControlNames[address]
@@ -46,17 +46,18 @@
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(n.cfg.Keys.Client(name)))
 }
 
-// Self returns this entry with the revision that it has in force.
-func (n followed) Self() distribution.Instance {
+// Self returns this entry and the revision that it has in force.
+func (n relayInstance) Self() distribution.Instance {
 	_, revision := n.state.Inventory()
 	return distribution.Instance{Name: n.cfg.Self.Name, Region: n.cfg.Self.Region, Revision: revision, LedgerFatalDomain: n.domains.fatal(), At: n.state.now()}
 }
 
-// Advert returns this entry's addresses.
-func (n followed) Advert() *wiregen.EntryAdvert { return wire.EncodeEntry(n.self()) }
+// Advert returns this entry's advert.
+func (n relayInstance) Advert() *wiregen.EntryAdvert { return wire.EncodeEntry(n.selfAdvert()) }
 
-// Adopt takes an accepted inventory into force; a lower revision is left out.
-func (n followed) Adopt(revision int64, whole []byte, source string) error {
+// Adopt puts an accepted inventory in force unless its revision is not higher than the one in force. It returns an
+// error if the inventory cannot be decoded.
+func (n relayInstance) Adopt(revision int64, whole []byte, source string) error {
 	began := time.Now()
 	m := &wiregen.Inventory{}
 	if err := proto.Unmarshal(whole, m); err != nil {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// heardFollower refuses a follower whose certificate names another instance than its report does.
-func (n *Entry) heardFollower(ctx context.Context, m *wiregen.FollowReport) error {
+// checkFollower refuses a follower whose certificate names another instance than its report does.
+func (n *Entry) checkFollower(ctx context.Context, m *wiregen.FollowReport) error {
 	sender := m.GetSender()
 	if sender == nil {
 		return nil
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -19,11 +19,12 @@
 
 var _ dispatch.Forwarder = (*peers)(nil)
 
-// ForwardModel sends a model request to an entry of the region; the next entry is tried while nothing of the answer came.
+// ForwardModel sends a model request to an entry of the region. If an entry fails before any piece of the answer has
+// arrived, the next one is tried.
 func (p *peers) ForwardModel(ctx context.Context, region string, r dispatch.Request, sink stream.Sink) (stream.End, error) {
 	sequencer := stream.NewSequencer(r.CorrelationID, 0, r.Resume.Next)
 	var end stream.End
-	err := p.each(ctx, region, r, func(frames forwardFrames) error {
+	err := p.tryEntries(ctx, region, r, func(frames forwardFrames) error {
 		var err error
 		end, err = readForward(frames, r.CorrelationID, sequencer, sink)
 		return err
@@ -31,10 +32,11 @@
 	return end, err
 }
 
-// ForwardCall sends a call to an entry of the region; the next entry is tried only if the call was not run.
+// ForwardCall sends a call to an entry of the region. The next entry is tried only if the call was refused without
+// being run.
 func (p *peers) ForwardCall(ctx context.Context, region string, r dispatch.Request) (dispatch.Reply, error) {
 	var reply dispatch.Reply
-	err := p.each(ctx, region, r, func(frames forwardFrames) error {
+	err := p.tryEntries(ctx, region, r, func(frames forwardFrames) error {
 		var err error
 		reply, err = readReply(frames, region)
 		return err
@@ -42,22 +44,23 @@
 	return reply, err
 }
 
-// forwardFrames is the answer of a forward.
+// forwardFrames is the stream of frames that answers a forwarded request.
 type forwardFrames = grpc.ServerStreamingClient[wiregen.ForwardFrame]
 
-// each runs a forward to one entry of the region after another until one answers or next declines its failure.
-func (p *peers) each(ctx context.Context, region string, r dispatch.Request, run func(forwardFrames) error, next func(error) bool) error {
-	if _, err := p.checkLeaving(r, region); err != nil {
+// tryEntries sends a request to the entries of the region in turn until one answers or next reports that a failure is
+// final.
+func (p *peers) tryEntries(ctx context.Context, region string, r dispatch.Request, run func(forwardFrames) error, next func(error) bool) error {
+	if _, err := p.checkDestination(r, region); err != nil {
 		return err
 	}
 	m := wire.EncodeForward(r)
 	last := error(problem.New(problem.HomeRegionRequired, http.StatusServiceUnavailable, "no entry of region %q can be reached", region).WithRetryAfter(retryAfterStopping))
 	for _, e := range p.targets(region, r) {
-		client, err := p.connected(ctx, e.PeerAddress)
+		client, err := p.connectedClient(ctx, e.PeerAddress)
 		if err != nil {
 			continue
 		}
-		if m.Revision, err = p.checkLeaving(r, region); err != nil {
+		if m.Revision, err = p.checkDestination(r, region); err != nil {
 			return err
 		}
 		err = forwardOnce(ctx, client, m, run)
@@ -69,9 +72,9 @@
 	return last
 }
 
-// targets returns the entries of the region that the request has not passed, leaving ones last: an entry that leaves
-// serves until its notice has passed, and one that has just started may be thought to leave still. The first one differs
-// from request to request.
+// targets returns the entries of the region that the request has not passed yet, starting at one that depends on the
+// correlation ID and so differs from request to request. Leaving entries come last but are included: they serve until
+// their notice has passed, and an entry that has just started may still be known as leaving.
 func (p *peers) targets(region string, r dispatch.Request) []membership.Entry {
 	targets := slices.DeleteFunc(p.state.live(), func(e membership.Entry) bool { return e.Region != region || r.Passed(e.Name) })
 	if len(targets) > 1 {
@@ -91,7 +94,7 @@
 	return targets
 }
 
-// forwardOnce runs one forward and releases it.
+// forwardOnce sends one request, reads its answer with run, and releases the stream.
 func forwardOnce(ctx context.Context, client wiregen.PeerClient, m *wiregen.ForwardRequest, run func(forwardFrames) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,19 +105,20 @@
 	return run(frames)
 }
 
-// retriable reports whether another entry may answer a model request of which nothing came.
+// retriable reports whether another entry may answer a model request that failed without any piece of an answer.
 func retriable(err error) bool {
 	var incomplete *stream.IncompleteError
 	return errors.As(err, &incomplete) || refusedByInstance(err)
 }
 
-// refusedByInstance reports whether an entry refused a request because it stops or is full, so that another one may take it.
+// refusedByInstance reports whether an entry refused a request because it is stopping or full, so that another entry
+// may accept it.
 func refusedByInstance(err error) bool {
 	var p *problem.Problem
 	return errors.As(err, &p) && (p.Code == problem.Stopping || p.Code == problem.InstanceFull) && p.Outcome == problem.NotRun
 }
 
-// readForward gives the pieces of a forwarded answer to the sink until its end.
+// readForward passes the pieces of a forwarded answer to the sink until the answer ends.
 func readForward(frames forwardFrames, requestID string, sequencer *stream.Sequencer, sink stream.Sink) (stream.End, error) {
 	for {
 		frame, err := frames.Recv()
@@ -124,7 +128,7 @@
 		switch f := frame.GetFrame().(type) {
 		case *wiregen.ForwardFrame_Piece:
 			piece := stream.Piece{RequestID: requestID, Position: int(f.Piece.GetPosition()), Text: string(f.Piece.GetData())}
-			if err := passOn(piece, sequencer, sink); err != nil {
+			if err := deliverPiece(piece, sequencer, sink); err != nil {
 				return stream.End{}, incomplete(requestID, sequencer, err)
 			}
 		case *wiregen.ForwardFrame_End:
@@ -143,8 +147,8 @@
 	return &stream.IncompleteError{RequestID: requestID, Pieces: sequencer.Next(), Cause: cause}
 }
 
-// passOn gives a piece to the sink if it is the next one.
-func passOn(piece stream.Piece, sequencer *stream.Sequencer, sink stream.Sink) error {
+// deliverPiece passes a piece to the sink if it is the next one in order.
+func deliverPiece(piece stream.Piece, sequencer *stream.Sequencer, sink stream.Sink) error {
 	ok, err := sequencer.Accept(piece)
 	if err != nil || !ok {
 		return err
@@ -152,7 +156,7 @@
 	return sink.Piece(piece)
 }
 
-// readReply reads the whole answer of a forwarded call; an answer that stops early is of unknown outcome.
+// readReply reads the full answer of a forwarded call; if the answer ends early, the outcome of the call is unknown.
 func readReply(frames forwardFrames, region string) (dispatch.Reply, error) {
 	var reply dispatch.Reply
 	for {
@@ -179,5 +183,5 @@
 }
 
 func callUnknown(region string) *problem.Problem {
-	return problem.New(problem.CallUnknown, http.StatusBadGateway, "region %q gave no whole answer", region).WithOutcome(problem.Unknown)
+	return problem.New(problem.CallUnknown, http.StatusBadGateway, "region %q sent no complete answer", region).WithOutcome(problem.Unknown)
 }
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -9,13 +9,14 @@
 	"arbutusreel/membership"
 )
 
-// TestTargetsDiffer checks that forwards to a region begin at each of its entries, and at a leaving one never.
+// TestTargetsDiffer checks that the first target of forwarded requests varies over all entries of a region that are not
+// leaving.
 func TestTargetsDiffer(t *testing.T) {
 	s := newState(membership.Entry{Name: "self", Region: "lahore"}, time.Now)
 	for i := range 3 {
-		s.hear(membership.Entry{Name: fmt.Sprint("entry-", i), Region: "karachi"})
+		s.updateEntry(membership.Entry{Name: fmt.Sprint("entry-", i), Region: "karachi"})
 	}
-	s.hear(membership.Entry{Name: "entry-leaving", Region: "karachi", Leaving: true})
+	s.updateEntry(membership.Entry{Name: "entry-leaving", Region: "karachi", Leaving: true})
 	p := &peers{state: s}
 	first := map[string]int{}
 	for i := range 300 {
--- a/entry/forwarded.go
+++ b/entry/forwarded.go
@@ -15,7 +15,7 @@
 	"arbutusreel/wiregen"
 )
 
-// frameSink sends the pieces of a forwarded answer back.
+// frameSink is a sink that sends the pieces of an answer to the forwarding entry.
 type frameSink struct {
 	frames grpc.ServerStreamingServer[wiregen.ForwardFrame]
 }
@@ -25,7 +25,7 @@
 	return s.frames.Send(wire.PieceFrame(p))
 }
 
-// Forward runs a request that another region's entry sent.
+// Forward runs a request that an entry of another region has forwarded.
 func (n *Entry) Forward(m *wiregen.ForwardRequest, frames grpc.ServerStreamingServer[wiregen.ForwardFrame]) error {
 	n.active.Add(1)
 	defer n.active.Add(-1)
@@ -41,28 +41,29 @@
 	}
 	class := n.classOf(r)
 	r.Priority = class.Priority
-	held, err := n.holdBody(r.Team, class, int64(len(r.Body)))
+	reserved, err := n.reserveBody(r.Team, class, int64(len(r.Body)))
 	if err != nil {
 		return frames.Send(wire.ProblemFrame(problem.From(err)))
 	}
 	ctx, cancel := context.WithDeadline(frames.Context(), r.Deadline)
 	defer cancel()
 	if r.Model != "" {
-		defer held.release()
+		defer reserved.release()
 		end, err := n.dispatcher.Generate(ctx, r, frameSink{frames: frames})
 		if err != nil {
 			return frames.Send(wire.ProblemFrame(n.streamProblem(err)))
 		}
 		return frames.Send(wire.EndFrame(end))
 	}
-	reply, err := n.forwardedCall(ctx, r, held.release)
+	reply, err := n.forwardedCall(ctx, r, reserved.release)
 	if err != nil {
 		return frames.Send(wire.ProblemFrame(problem.From(err)))
 	}
 	return sendReply(frames, reply)
 }
 
-// classOf returns the class of a forwarded request as it is here; an unknown one has the highest priority.
+// classOf returns the class of a forwarded request according to the own inventory; an unknown class has the highest
+// priority.
 func (n *Entry) classOf(r dispatch.Request) inventory.Class {
 	inv, _ := n.state.Inventory()
 	if inv == nil {
@@ -72,8 +73,8 @@
 	return class
 }
 
-// forwardedCall runs a call from another region, through the ledger if it may not be repeated; it calls release once the
-// call holds no memory any more.
+// forwardedCall runs a call from another region, through the ledger if the call must not be repeated. It calls release
+// once the call holds no memory any more.
 func (n *Entry) forwardedCall(ctx context.Context, r dispatch.Request, release func()) (dispatch.Reply, error) {
 	inv, _ := n.state.Inventory()
 	if inv == nil {
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -26,7 +26,7 @@
 	pollLimit  = 10 * time.Second
 )
 
-// syncBuffer is a log that is safe for concurrent use.
+// syncBuffer is a log buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -44,16 +44,16 @@
 	return b.b.String()
 }
 
-// gateway is an entry in the test's process without its daemon duties.
-type gateway struct {
+// testEntry is an entry in the test process that runs none of the daemon's background tasks.
+type testEntry struct {
 	t      testing.TB
 	entry  *Entry
 	server *httptest.Server
 	log    *syncBuffer
 }
 
-// newGateway returns an entry of lahore with the Lunch Club's inventory in force.
-func newGateway(t testing.TB, change func(*Config)) *gateway {
+// newTestEntry returns an entry of region lahore with the inventory of examples/lunchclub in force.
+func newTestEntry(t testing.TB, change func(*Config)) *testEntry {
 	t.Helper()
 	cfg := Config{
 		Self:              membership.Entry{Name: "entry-lahore-0", Region: "lahore", FailureDomain: "lahore-a"},
@@ -68,7 +68,7 @@
 	if change != nil {
 		change(&cfg)
 	}
-	g := &gateway{t: t, log: &syncBuffer{}}
+	g := &testEntry{t: t, log: &syncBuffer{}}
 	g.entry = New(cfg, zerolog.New(g.log), time.Now)
 	b, err := os.ReadFile("../examples/lunchclub/inventory.json")
 	if err != nil {
@@ -92,8 +92,8 @@
 	return g
 }
 
-// announce makes a handler known as an endpoint of a service.
-func (g *gateway) announce(service string, handler http.Handler) {
+// announce starts a server with the handler and adds it as an endpoint of the service.
+func (g *testEntry) announce(service string, handler http.Handler) {
 	server := httptest.NewServer(handler)
 	g.t.Cleanup(server.Close)
 	e := membership.Endpoint{
@@ -112,8 +112,8 @@
 	g.entry.state.announce(e, time.Hour)
 }
 
-// request returns a request of the team.
-func (g *gateway) request(ctx context.Context, method, path, body string, headers map[string]string) *http.Request {
+// request returns a request with the team's token.
+func (g *testEntry) request(ctx context.Context, method, path, body string, headers map[string]string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, method, g.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		g.t.Fatal(err)
@@ -125,8 +125,8 @@
 	return r
 }
 
-// do sends a request and returns the status, header and body of its answer.
-func (g *gateway) do(method, path, body string, headers map[string]string) (int, http.Header, string) {
+// do sends a request and returns the status, header and body of the response.
+func (g *testEntry) do(method, path, body string, headers map[string]string) (int, http.Header, string) {
 	g.t.Helper()
 	resp, err := g.server.Client().Do(g.request(g.t.Context(), method, path, body, headers))
 	if err != nil {
@@ -140,13 +140,13 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-// until polls a condition; it fails the test if the condition does not come about.
-func (g *gateway) until(what string, condition func() bool) {
+// waitFor polls a condition and fails the test if it doesn't become true within pollLimit.
+func (g *testEntry) waitFor(what string, condition func() bool) {
 	g.t.Helper()
 	deadline := time.Now().Add(pollLimit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			g.t.Fatalf("gave up waiting: %s; log:\n%s", what, g.log.String())
+			g.t.Fatalf("timed out waiting until %s; log:\n%s", what, g.log.String())
 		}
 		time.Sleep(pollPeriod)
 	}
--- a/entry/keyed_test.go
+++ b/entry/keyed_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestKeyedRefusals refuses calls with a key before the ledger is asked: only a call without a key was certainly not run.
+// TestKeyedRefusals checks calls that are refused before the ledger is checked: a call with a key has an unknown
+// outcome, since an earlier attempt may have run, unless its body is too large.
 func TestKeyedRefusals(t *testing.T) {
 	const orders = "/v1/services/club-desk/orders"
 	tests := []struct {
@@ -27,7 +28,7 @@
 		{"unknown service", "/v1/services/x/orders", map[string]string{keyHeader: "k"}, "lentils", false, "unknownService", "outcomeUnknown"},
 		{"large body", orders, map[string]string{keyHeader: "k"}, strings.Repeat("x", 5000), false, "bodyTooLarge", "notRun"},
 	}
-	g := newGateway(t, nil)
+	g := newTestEntry(t, nil)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g.entry.closed.Store(tt.closed)
--- a/entry/ledger.go
+++ b/entry/ledger.go
@@ -15,62 +15,61 @@
 	"arbutusreel/wiregen"
 )
 
-// ledgerMargin is how much longer than the retention a record is kept, for clocks that differ.
-const ledgerMargin = 10 * time.Minute
+// ledgerRetentionMargin is added to the retention of a record to allow for differing clocks.
+const ledgerRetentionMargin = 10 * time.Minute
 
-// ledgerLink asks the region's ledger replicas, and the own one without the network.
-type ledgerLink struct {
+// ledgerClient sends requests to the region's ledger replicas, and calls the own replica directly.
+type ledgerClient struct {
 	entry     *Entry
 	addresses map[string]string
 }
 
-var _ calls.Link = (*ledgerLink)(nil)
+var _ calls.Link = (*ledgerClient)(nil)
 
-// newLedgerLink returns a link to replicas given as name=address.
-func newLedgerLink(n *Entry, replicas []string) *ledgerLink {
-	l := &ledgerLink{entry: n, addresses: map[string]string{}}
+// newLedgerClient returns a client of the replicas given as name=address.
+func newLedgerClient(n *Entry, replicas []string) *ledgerClient {
+	c := &ledgerClient{entry: n, addresses: map[string]string{}}
 	for _, replica := range replicas {
 		name, address, _ := strings.Cut(replica, "=")
-		l.addresses[name] = address
+		c.addresses[name] = address
 	}
-	return l
+	return c
 }
 
-// slots returns the names of the replicas in order.
-func (l *ledgerLink) slots() []string {
+// slots returns the sorted names of the replicas.
+func (c *ledgerClient) slots() []string {
 	var slots []string
-	for name := range l.addresses {
+	for name := range c.addresses {
 		slots = append(slots, name)
 	}
 	slices.Sort(slots)
 	return slots
 }
 
-// Handle asks one replica.
-func (l *ledgerLink) Handle(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
-	if slot == l.entry.cfg.Self.Name {
-		return l.entry.replica.Handle(m), nil
+// Handle sends a request to one replica and returns its reply.
+func (c *ledgerClient) Handle(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
+	if slot == c.entry.cfg.Self.Name {
+		return c.entry.replica.Handle(m), nil
 	}
-	conn, err := l.entry.peers.conn(l.addresses[slot])
+	conn, err := c.entry.peers.conn(c.addresses[slot])
 	if err != nil {
 		return ledger.Reply{}, err
 	}
-	reply, err := wiregen.NewLedgerClient(conn).Handle(ctx, wire.EncodeLedgerRequest(l.entry.state.now(), m))
+	reply, err := wiregen.NewLedgerClient(conn).Handle(ctx, wire.EncodeLedgerRequest(c.entry.state.now(), m))
 	if err != nil {
 		return ledger.Reply{}, err
 	}
-	return wire.DecodeLedgerReply(l.entry.state.now(), reply), nil
+	return wire.DecodeLedgerReply(c.entry.state.now(), reply), nil
 }
 
-// ledgerServer answers the other instances of the region.
+// ledgerServer serves ledger requests of the region's other instances.
 type ledgerServer struct {
 	wiregen.UnimplementedLedgerServer
 	entry *Entry
 }
 
-// Handle answers a request to the own replica; an instance that is none refuses it as one of another replica set.
-//
-// A peer whose certificate names another region is refused, since outcomes hold bodies.
+// Handle serves a request with the own replica; an instance that isn't a replica refuses it as one of another group. A
+// peer of another region is refused, since recorded outcomes contain bodies.
 func (s *ledgerServer) Handle(ctx context.Context, m *wiregen.LedgerRequest) (*wiregen.LedgerReply, error) {
 	if err := s.entry.checkRegion(ctx); err != nil {
 		return nil, err
@@ -84,12 +83,12 @@
 	return wire.EncodeLedgerReply(now, reply), nil
 }
 
-// openReplica opens the ledger replica if the instance is one; a data folder that cannot be read is returned as an error.
+// openReplica opens the ledger replica if this instance is one. It returns an error if the data folder cannot be read.
 func (n *Entry) openReplica() error {
 	if !slices.Contains(n.ledgerGroup.Slots(), n.cfg.Self.Name) {
 		return nil
 	}
-	limits := ledger.Limits{Retention: n.cfg.LedgerRetention + ledgerMargin, MaxCalls: n.cfg.LedgerMaxCalls}
+	limits := ledger.Limits{Retention: n.cfg.LedgerRetention + ledgerRetentionMargin, MaxCalls: n.cfg.LedgerMaxCalls}
 	replica := ledger.NewReplica(n.cfg.Self.Name, n.ledgerGroup.Name(), rand.Text(), limits)
 	if n.cfg.DataFolder == "" {
 		n.replica = calls.NewReplica(n.cfg.Self.Name, replica, nil, n.state.now, nil)
@@ -103,21 +102,21 @@
 	if err != nil {
 		return err
 	}
-	fail := func(err error) { n.log.Fatal().Err(err).Msg("ledgerJournalFailed") }
+	fail := func(err error) { n.log.Fatal().Err(err).Msg("ledger journal failed") }
 	n.replica = calls.NewReplica(n.cfg.Self.Name, replica, log, n.state.now, fail)
-	n.log.Info().Int("records", len(contents.Records)).Int64("cutBytes", contents.Cut).Msg("ledgerOpened")
+	n.log.Info().Int("records", len(contents.Records)).Int64("cutBytes", contents.Cut).Msg("ledger journal opened")
 	return n.replica.Restore(contents.Records)
 }
 
-// keepLedger gives the own replica its part in the group until ctx ends.
-func (n *Entry) keepLedger(ctx context.Context) {
+// runLedgerReplica keeps the own replica in sync with its group until ctx ends.
+func (n *Entry) runLedgerReplica(ctx context.Context) {
 	if n.replica == nil {
 		return
 	}
 	calls.NewKeeper(n.replica, n.ledgerGroup, n.log).Run(ctx)
 }
 
-// ledgerEpoch returns the epoch of the own replica, or "" if it has none.
+// ledgerEpoch returns the epoch of the own replica, or "" if there is no replica or it is not active.
 func (n *Entry) ledgerEpoch() string {
 	if n.replica == nil {
 		return ""
@@ -129,7 +128,8 @@
 	return status.Epoch
 }
 
-// epochToken returns the token of a region's ledger for callers, or "" if its epoch is not known.
+// epochToken returns the token of a region's ledger for callers, with the epoch that most entries of the region
+// advertise, or "" if no epoch is known.
 func (n *Entry) epochToken(region string) string {
 	epochs := map[string]int{}
 	if region == n.cfg.Self.Region {
@@ -141,11 +141,11 @@
 		}
 	}
 	delete(epochs, "")
-	return ledger.Token{Epoch: mostOften(epochs), Issued: n.state.now()}.String()
+	return ledger.Token{Epoch: mostCommon(epochs), Issued: n.state.now()}.String()
 }
 
-// mostOften returns the text with the highest count, the first in order among equals.
-func mostOften(counts map[string]int) string {
+// mostCommon returns the key with the highest count, or the first in lexical order among equals.
+func mostCommon(counts map[string]int) string {
 	best := ""
 	for text, count := range counts {
 		if best == "" || count > counts[best] || (count == counts[best] && text < best) {
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -13,41 +13,42 @@
 	"arbutusreel/wiregen"
 )
 
-// Periods of the loans of limits.
+// Period and timeout of borrowing shares of team limits.
 const (
-	lendPeriod  = 500 * time.Millisecond
-	lendTimeout = time.Second
+	borrowPeriod  = 500 * time.Millisecond
+	borrowTimeout = time.Second
 )
 
-// rates holds the instance's parts of the teams' limits; it is safe for concurrent use.
-type rates struct {
+// rateLimiter holds this instance's shares of the teams' limits; it is safe for concurrent use.
+type rateLimiter struct {
 	mu    sync.Mutex
 	now   func() time.Time
 	teams *limits.Teams
 }
 
-var _ dispatch.Limiter = (*rates)(nil)
+var _ dispatch.Limiter = (*rateLimiter)(nil)
 
-func newRates(self membership.Entry, now func() time.Time) *rates {
-	return &rates{now: now, teams: limits.New(limits.Member{Instance: self.Name, Region: self.Region})}
+func newRateLimiter(self membership.Entry, now func() time.Time) *rateLimiter {
+	return &rateLimiter{now: now, teams: limits.New(limits.Member{Instance: self.Name, Region: self.Region})}
 }
 
-// Spend takes tokens of the team's limit.
-func (s *rates) Spend(team string, tokens int) (time.Duration, bool) {
+// Spend deducts tokens from the team's allowance. If there are too few, it returns the time after which to retry and
+// false.
+func (s *rateLimiter) Spend(team string, tokens int) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.teams.Spend(s.now(), team, tokens)
 }
 
-// Settle corrects what a request has spent to what it has used.
-func (s *rates) Settle(team string, spent, used int) {
+// Settle corrects the tokens deducted for a request to those used.
+func (s *rateLimiter) Settle(team string, spent, used int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.teams.Settle(s.now(), team, spent, used)
 }
 
-// observe takes the limits of an inventory and the live entries, and returns what to ask by lender.
-func (s *rates) observe(inv *inventory.Inventory, entries []membership.Entry) map[string][]limits.Ask {
+// observe updates the limits and the live instances, and returns the requests for rate by lender.
+func (s *rateLimiter) observe(inv *inventory.Inventory, entries []membership.Entry) map[string][]limits.Ask {
 	var all []limits.Limit
 	for _, t := range inv.Contents().Teams {
 		all = append(all, limits.Limit{Team: t.Name, HomeRegion: t.HomeRegion, TokensPerSecond: t.TokensPerSecond})
@@ -72,14 +73,14 @@
 	return asks
 }
 
-// leave gives up the parts that the instance owns.
-func (s *rates) leave() {
+// leave gives up the shares that this instance owns.
+func (s *rateLimiter) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.teams.Leave(s.now())
 }
 
-func (s *rates) take(grants []*wiregen.RateGrant) {
+func (s *rateLimiter) acceptGrants(grants []*wiregen.RateGrant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range grants {
@@ -87,7 +88,7 @@
 	}
 }
 
-func (s *rates) lend(asks []*wiregen.RateAsk) []*wiregen.RateGrant {
+func (s *rateLimiter) lend(asks []*wiregen.RateAsk) []*wiregen.RateGrant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var grants []*wiregen.RateGrant
@@ -99,25 +100,25 @@
 	return grants
 }
 
-// lendLoop asks the owners of the limits for what the instance has use for.
-func (n *Entry) lendLoop(ctx context.Context) {
-	every(ctx, lendPeriod, func() {
+// borrowLoop periodically asks the owners of the limits for the rate that this instance needs.
+func (n *Entry) borrowLoop(ctx context.Context) {
+	every(ctx, borrowPeriod, func() {
 		inv, _ := n.state.Inventory()
 		if inv == nil {
 			return
 		}
 		entries := n.state.live()
 		var wg sync.WaitGroup
-		for lender, asks := range n.rates.observe(inv, entries) {
+		for lender, asks := range n.limiter.observe(inv, entries) {
 			wg.Go(func() { n.borrow(ctx, lender, asks, entries) })
 		}
 		wg.Wait()
 	})
 }
 
-// borrow asks one lender.
+// borrow sends the requests to one lender and accepts its grants.
 func (n *Entry) borrow(ctx context.Context, lender string, asks []limits.Ask, entries []membership.Entry) {
-	ctx, cancel := context.WithTimeout(ctx, lendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	for _, e := range entries {
 		if e.Name != lender {
@@ -129,26 +130,26 @@
 		}
 		reply, err := wiregen.NewLimitsClient(conn).Lend(ctx, &wiregen.LendRequest{Asks: wire.EncodeAsks(asks)})
 		if err != nil {
-			n.log.Debug().Str("lender", lender).Err(err).Msg("lenderUnreachable")
+			n.log.Debug().Str("lender", lender).Err(err).Msg("lender unreachable")
 			return
 		}
-		n.rates.take(reply.GetGrants())
+		n.limiter.acceptGrants(reply.GetGrants())
 	}
 }
 
-// limitsServer answers the asks of other entries.
+// limitsServer serves other entries' requests for rate.
 type limitsServer struct {
 	wiregen.UnimplementedLimitsServer
-	rates *rates
+	limiter *rateLimiter
 }
 
-// Lend answers asks for parts of the limits that the instance owns.
+// Lend grants parts of the shares that this instance owns.
 func (s limitsServer) Lend(_ context.Context, m *wiregen.LendRequest) (*wiregen.LendReply, error) {
-	return &wiregen.LendReply{Grants: s.rates.lend(m.GetAsks())}, nil
+	return &wiregen.LendReply{Grants: s.limiter.lend(m.GetAsks())}, nil
 }
 
-// instances returns the number of live entries of the own region that are not leaving.
-func (n *Entry) instances() int {
+// servingEntries returns the number of live entries of this region that are not leaving.
+func (n *Entry) servingEntries() int {
 	count := 0
 	for _, e := range n.state.live() {
 		if e.Region == n.cfg.Self.Region && !e.Leaving {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,16 +10,16 @@
 	"arbutusreel/stream"
 )
 
-// dispatchVar is the name of the dispatcher's counts in the metrics.
+// dispatchVar is the metric of the dispatcher's counters.
 const dispatchVar = "dispatch"
 
-// requestBytesVar is the name of the memory of requests in progress in the metrics.
+// requestBytesVar is the metric of the memory reserved for requests in progress, in bytes.
 const requestBytesVar = "requestBytes"
 
-// answeredCode is what an answered request counts as in the metrics.
+// answeredCode is the code under which answered requests are counted.
 const answeredCode = "answered"
 
-// timing is when a request began, was first sent to an engine, and got its first piece back.
+// timing records when a request began, when it was first sent to an engine, and when the first piece arrived.
 type timing struct {
 	mu    sync.Mutex
 	began time.Time
@@ -27,15 +27,16 @@
 	first time.Time
 }
 
-// timingKey is the key of the timing in a request's context.
+// timingKey is the context key of the timing.
 type timingKey struct{}
 
 func withTiming(ctx context.Context, t *timing) context.Context {
 	return context.WithValue(ctx, timingKey{}, t)
 }
 
-// added returns the time that the entry added to the first token by now: before it was sent on, and after it came back.
-func (t *timing) added(now time.Time) (time.Duration, bool) {
+// addedLatency returns the latency that the entry has added to the first token: the time until the request was sent,
+// and the time since the first piece arrived. It returns false if either has not happened.
+func (t *timing) addedLatency(now time.Time) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sent.IsZero() || t.first.IsZero() {
@@ -44,7 +45,7 @@
 	return t.sent.Sub(t.began) + now.Sub(t.first), true
 }
 
-func (t *timing) note(target *time.Time) {
+func (t *timing) record(target *time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if target.IsZero() {
@@ -52,17 +53,17 @@
 	}
 }
 
-// timedModels notes when a request is sent to an engine.
-type timedModels struct {
-	models dispatch.ModelCaller
+// timedModelCaller records when a request is first sent to an engine.
+type timedModelCaller struct {
+	next dispatch.ModelCaller
 }
 
-var _ dispatch.ModelCaller = timedModels{}
+var _ dispatch.ModelCaller = timedModelCaller{}
 
-// Generate notes the time and passes the request on.
-func (m timedModels) Generate(ctx context.Context, e membership.Endpoint, r dispatch.Request, attempt dispatch.Attempt, sink stream.Sink) (stream.End, error) {
+// Generate records the time and passes the request on.
+func (m timedModelCaller) Generate(ctx context.Context, e membership.Endpoint, r dispatch.Request, attempt dispatch.Attempt, sink stream.Sink) (stream.End, error) {
 	if t, ok := ctx.Value(timingKey{}).(*timing); ok {
-		t.note(&t.sent)
+		t.record(&t.sent)
 	}
-	return m.models.Generate(ctx, e, r, attempt, sink)
+	return m.next.Generate(ctx, e, r, attempt, sink)
 }
--- a/entry/guard.go
+++ b/entry/middleware.go
@@ -10,25 +10,26 @@
 	"arbutusreel/problem"
 )
 
-// correlationBytes is the length of a correlation id before its encoding.
+// correlationBytes is the length of a correlation ID in characters.
 const correlationBytes = 12
 
-// headerSlack is how far a header may exceed its bound and still be refused with a problem; beyond it net/http refuses.
+// headerSlack is by how many bytes a header may exceed the maximum and still be refused with a problem; net/http
+// refuses larger ones by itself.
 const headerSlack = 64 << 10
 
-// correlationKey is the key of the correlation id in a request's context.
+// correlationKey is the context key of the correlation ID.
 type correlationKey struct{}
 
-// correlationOf returns the correlation id of a request.
-func correlationOf(ctx context.Context) string {
+// correlationID returns the correlation ID in a request's context.
+func correlationID(ctx context.Context) string {
 	id, _ := ctx.Value(correlationKey{}).(string)
 	return id
 }
 
-// guard gives each request a correlation id and refuses one whose header is too large. It clears what an earlier request
-// left on the connection, limits the time for the body, which net/http reads to its end also after a refusal, and closes
-// the connection after a leaving entry's answer.
-func (n *Entry) guard(handler http.Handler) http.Handler {
+// middleware assigns a correlation ID to each request and refuses requests whose header is too large. It resets the
+// deadlines that an earlier request left on the connection, and limits the time for reading the body, which net/http
+// reads to its end even after a refusal. Answers of a leaving entry close the connection.
+func (n *Entry) middleware(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := rand.Text()[:correlationBytes]
 		w.Header().Set(correlationHeader, id)
@@ -43,17 +44,17 @@
 			n.fail(w, caller{correlationID: id}, problem.New(problem.HeaderTooLarge, http.StatusRequestHeaderFieldsTooLarge, "a header has at most %d bytes", n.cfg.MaxHeaderBytes))
 			return
 		}
-		defer n.abort(id)
+		defer n.abortOnPanic(id)
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// limitWrite bounds the time in which the caller takes an answer that is written at once.
-func (n *Entry) limitWrite(w http.ResponseWriter) {
+// setWriteTimeout limits the time for writing an answer that is not streamed.
+func (n *Entry) setWriteTimeout(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(n.cfg.ReaderTimeout))
 }
 
-// headerBytes returns the size of a request's first line and header fields.
+// headerBytes returns the size of a request line and its header fields, in bytes.
 func headerBytes(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI)
 	for name, values := range r.Header {
@@ -64,32 +65,32 @@
 	return size
 }
 
-// abort ends a request whose handler panicked: its connection is closed, so that the caller does not take what was
-// sent for the whole answer.
-func (n *Entry) abort(id string) {
+// abortOnPanic recovers from a panic of a handler and closes the connection, so that the caller doesn't mistake a
+// truncated answer for a complete one.
+func (n *Entry) abortOnPanic(id string) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
-	n.log.Error().Str("correlationId", id).Str("code", string(problem.Internal)).Msg("panicked")
+	n.log.Error().Str("correlationId", id).Str("code", string(problem.Internal)).Msg("request handler panicked")
 	panic(http.ErrAbortHandler)
 }
 
-// unknownRoute refuses a path that no route has, or a method that its route lacks.
+// unknownRoute refuses requests for unknown paths, and requests with a method that the path doesn't support.
 func (n *Entry) unknownRoute(mux *http.ServeMux) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := caller{correlationID: correlationOf(r.Context())}
+		c := caller{correlationID: correlationID(r.Context())}
 		allowed := allowedMethods(mux, r)
 		if len(allowed) == 0 {
-			n.fail(w, c, problem.New(problem.UnknownRoute, http.StatusNotFound, "no route has the path %q", r.URL.Path))
+			n.fail(w, c, problem.New(problem.UnknownRoute, http.StatusNotFound, "no route matches the path %q", r.URL.Path))
 			return
 		}
 		w.Header().Set("Allow", strings.Join(allowed, ", "))
-		n.fail(w, c, problem.New(problem.MethodNotAllowed, http.StatusMethodNotAllowed, "the route %q has the methods %s", r.URL.Path, strings.Join(allowed, ", ")))
+		n.fail(w, c, problem.New(problem.MethodNotAllowed, http.StatusMethodNotAllowed, "the route %q supports only the methods %s", r.URL.Path, strings.Join(allowed, ", ")))
 	}
 }
 
-// allowedMethods returns the methods with which the path has a route.
+// allowedMethods returns the methods for which the path has a route.
 func allowedMethods(mux *http.ServeMux, r *http.Request) []string {
 	var allowed []string
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
--- a/entry/models.go
+++ b/entry/models.go
@@ -14,10 +14,10 @@
 	"arbutusreel/stream"
 )
 
-// statusCallerGone is the status in the log of a request whose caller has closed its connection; nobody receives it.
+// statusCallerGone is the status logged when the caller has closed its connection; it is never sent.
 const statusCallerGone = 499
 
-// modelItem is one model of the list on the wire.
+// modelItem is one model in the JSON list of models.
 type modelItem struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
@@ -28,7 +28,7 @@
 	Data   []modelItem `json:"data"`
 }
 
-// listModels answers the models of the inventory.
+// listModels replies with the models that the inventory offers.
 func (n *Entry) listModels(w http.ResponseWriter, _ *http.Request, c caller) {
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, name := range c.inventory.OfferedNames() {
@@ -46,28 +46,28 @@
 	n.complete(w, r, c, completion.Text)
 }
 
-// complete answers a completion, streamed or whole.
+// complete serves a completion request, streamed or not.
 func (n *Entry) complete(w http.ResponseWriter, r *http.Request, c caller, kind completion.Kind) {
 	began := time.Now()
-	class, held, err := n.hold(c, r)
+	class, reserved, err := n.reserveRequest(c, r)
 	if err != nil {
 		n.fail(w, c, err)
 		return
 	}
-	defer held.release()
-	req, asked, err := n.modelRequest(w, r, c, class, kind)
+	defer reserved.release()
+	req, parsed, err := n.modelRequest(w, r, c, class, kind)
 	if err != nil {
 		n.fail(w, c, err)
 		return
 	}
-	held.settle(int64(len(req.Body)))
-	n.demands.arrive(c.inventory, req)
-	answer := completion.Answer{Kind: kind, ID: c.correlationID, Model: asked.Model}
-	sink := newWriter(r.Context(), w, answer, asked.Streaming, n.cfg.ReaderTimeout)
+	reserved.shrink(int64(len(req.Body)))
+	n.demands.countRequest(c.inventory, req)
+	answer := completion.Answer{Kind: kind, ID: c.correlationID, Model: parsed.Model}
+	sink := newWriter(r.Context(), w, answer, parsed.Streaming, n.cfg.ReaderTimeout)
 	defer sink.stop()
 	t := &timing{began: began}
-	sink.first = func() { t.note(&t.first) }
-	sink.written = func() { n.countAdded(t) }
+	sink.onFirstPiece = func() { t.record(&t.first) }
+	sink.onFirstWrite = func() { n.recordAddedLatency(t) }
 	ctx, cancel := context.WithDeadline(withTiming(sink.ctx, t), req.Deadline)
 	defer cancel()
 	end, err := n.dispatcher.Generate(ctx, req, sink)
@@ -80,44 +80,45 @@
 	}
 	n.metrics.Count(answeredCode)
 	n.metrics.Tokens(end.Pieces)
-	n.demands.answered(asked.Model, end.Pieces)
+	n.demands.recordAnswer(parsed.Model, end.Pieces)
 	n.log.Info().
 		Str("correlationId", c.correlationID).
 		Str("team", c.team.Name).
 		Str("class", req.Class).
-		Str("model", asked.Model).
+		Str("model", parsed.Model).
 		Int("tokens", end.Pieces).
 		Dur("duration", time.Since(began)).
 		Msg("answered")
 }
 
-// countAdded notes the time that the entry added to the first token of an answer from its own region.
-func (n *Entry) countAdded(t *timing) {
-	if d, ok := t.added(time.Now()); ok {
+// recordAddedLatency records the latency that the entry added to the first token, if the answer came from an engine of
+// its own region.
+func (n *Entry) recordAddedLatency(t *timing) {
+	if d, ok := t.addedLatency(time.Now()); ok {
 		n.metrics.Added(d)
 	}
 }
 
-// modelRequest checks a caller's completion request.
+// modelRequest reads and validates a caller's completion request.
 func (n *Entry) modelRequest(w http.ResponseWriter, r *http.Request, c caller, class inventory.Class, kind completion.Kind) (dispatch.Request, completion.Request, error) {
-	labels, err := n.arrivalLabels(c, r)
+	labels, err := n.allowedLabels(c, r)
 	if err != nil {
 		return dispatch.Request{}, completion.Request{}, err
 	}
-	body, err := n.body(w, r)
+	body, err := n.readBody(w, r)
 	if err != nil {
 		return dispatch.Request{}, completion.Request{}, err
 	}
-	asked, err := completion.Decode(kind, body)
+	parsed, err := completion.Decode(kind, body)
 	if err != nil {
-		return dispatch.Request{}, asked, problem.New(problem.MalformedRequest, http.StatusBadRequest, "%s", err.Error())
+		return dispatch.Request{}, parsed, problem.New(problem.MalformedRequest, http.StatusBadRequest, "%s", err.Error())
 	}
-	if _, err := c.inventory.Resolve(asked.Model); err != nil {
-		return dispatch.Request{}, asked, problem.New(problem.UnknownModel, http.StatusNotFound, "%s", err.Error())
+	if _, err := c.inventory.Resolve(parsed.Model); err != nil {
+		return dispatch.Request{}, parsed, problem.New(problem.UnknownModel, http.StatusNotFound, "%s", err.Error())
 	}
-	services := c.inventory.ServicesOfModel(asked.Model)
+	services := c.inventory.ServicesOfModel(parsed.Model)
 	if len(services) == 0 {
-		return dispatch.Request{}, asked, problem.New(problem.UnknownModel, http.StatusNotFound, "no service offers the model %q", asked.Model)
+		return dispatch.Request{}, parsed, problem.New(problem.UnknownModel, http.StatusNotFound, "no service offers the model %q", parsed.Model)
 	}
 	return dispatch.Request{
 		CorrelationID: c.correlationID,
@@ -126,20 +127,20 @@
 		Priority:      class.Priority,
 		Labels:        labels,
 		Service:       services[0],
-		Model:         asked.Model,
+		Model:         parsed.Model,
 		Method:        http.MethodPost,
 		Path:          r.URL.Path,
 		ContentType:   "application/json",
-		Prefixes:      completion.PrefixHashes(asked.Prompt),
+		Prefixes:      completion.PrefixHashes(parsed.Prompt),
 		Body:          body,
-		Streaming:     asked.Streaming,
-		PromptTokens:  asked.PromptTokens,
-		MaxTokens:     asked.MaxTokens,
+		Streaming:     parsed.Streaming,
+		PromptTokens:  parsed.PromptTokens,
+		MaxTokens:     parsed.MaxTokens,
 		Deadline:      time.Now().Add(class.Patience),
-	}, asked, nil
+	}, parsed, nil
 }
 
-// failStream answers a failure: as a problem if nothing was sent yet, else as the stream's last event.
+// failStream reports a failure: as a problem if nothing has been sent yet, otherwise as the last event of the stream.
 func (n *Entry) failStream(w http.ResponseWriter, c caller, sink *writer, err error) {
 	if cause := sink.cause(); cause != nil {
 		err = cause
@@ -153,7 +154,7 @@
 	sink.fail(p, c.correlationID)
 }
 
-// streamProblem returns the problem of a failed answer.
+// streamProblem returns the problem that describes why an answer failed.
 func (n *Entry) streamProblem(err error) *problem.Problem {
 	var p *problem.Problem
 	if errors.As(err, &p) {
@@ -167,7 +168,7 @@
 		return problem.New(problem.CallerGone, statusCallerGone, "the caller has closed its connection").WithOutcome(problem.Unknown)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return problem.New(problem.PatienceExceeded, http.StatusGatewayTimeout, "the patience of the class has passed").WithOutcome(problem.Unknown).WithRetryAfter(retryAfterStopping)
+		return problem.New(problem.PatienceExceeded, http.StatusGatewayTimeout, "the patience of the request's class has run out").WithOutcome(problem.Unknown).WithRetryAfter(retryAfterStopping)
 	}
 	var incomplete *stream.IncompleteError
 	if errors.As(err, &incomplete) {
--- a/entry/partners.go
+++ b/entry/partners.go
@@ -9,17 +9,19 @@
 	"arbutusreel/membership"
 )
 
-// partner is a peer that is asked, and for what.
+// partner is a peer that is selected for an exchange, and the state that is requested from it.
 type partner struct {
 	address string
-	// local and global say whether what entries of the region tell, and what all regions tell, is asked for.
+	// local requests the state that entries share within the region, and global the state shared between regions.
 	local, global bool
-	// knows says that the peer needs no advert of the instance, since it hears of it by what entries and gateways tell.
-	knows bool
+	// knowsSelf reports that the peer needs no advert of this instance, because the gossip of entries and gateways
+	// carries it.
+	knowsSelf bool
 }
 
-// drawPartners draws the peers of one exchange: entries of the region, one of its gateways for what all regions tell, gateways
-// of other regions if the instance is one, and addresses of the settings that are not known to be alive.
+// drawPartners selects the peers of one exchange at random: entries of the region, one of its gateways for the global
+// state, gateways of other regions if this instance is a gateway, and configured addresses that are not known to be
+// live.
 func (s *state) drawPartners(self membership.Entry, seeds []string, rng *rand.Rand) []partner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,17 +35,17 @@
 		}
 	}
 	var drawn []partner
-	few := s.few(now)
-	known := s.known(now)
-	for _, e := range draw(regions[self.Region], s.localPartners(now), rng) {
-		drawn = append(drawn, partner{address: e.PeerAddress, local: true, global: few, knows: known})
+	small := s.smallRegion(now)
+	knowsSelf := s.knownToPeers(now)
+	for _, e := range draw(regions[self.Region], s.localPartnerCount(now), rng) {
+		drawn = append(drawn, partner{address: e.PeerAddress, local: true, global: small, knowsSelf: knowsSelf})
 	}
 	switch gateway := s.isGateway(now, self.Name); {
-	case !s.tellsGlobal(now):
+	case !s.asksGlobal(now):
 	case gateway:
-		drawn = append(drawn, drawGateways(self.Region, regions, known, rng)...)
-	case !few && s.facts.period%slowEntryPeriods == 0:
-		drawn = append(drawn, drawGateway(self.Region, regions[self.Region], known, rng)...)
+		drawn = append(drawn, drawGateways(self.Region, regions, knowsSelf, rng)...)
+	case !small && s.gossip.period%slowEntryPeriods == 0:
+		drawn = append(drawn, drawGateway(self.Region, regions[self.Region], knowsSelf, rng)...)
 	}
 	unknown := slices.DeleteFunc(slices.Clone(seeds), func(address string) bool { return live[address] })
 	for _, address := range draw(unknown, seedPartners, rng) {
@@ -52,51 +54,55 @@
 	return drawn
 }
 
-// few reports whether the region has so few entries that the exchange is fast; the lock is held.
-func (s *state) few(now time.Time) bool { return len(s.regionEntries(now)) <= fewEntries }
+// smallRegion reports whether the region has so few entries that it exchanges at the fast rate; the lock is held.
+func (s *state) smallRegion(now time.Time) bool {
+	return len(s.regionEntries(now)) <= maxSmallRegionEntries
+}
 
-// known reports whether the peers of the region know the instance by what it tells; the lock is held.
-func (s *state) known(now time.Time) bool { return !s.few(now) && s.facts.adverts == 0 }
+// knownToPeers reports whether the region's peers know this instance through gossip; the lock is held.
+func (s *state) knownToPeers(now time.Time) bool {
+	return !s.smallRegion(now) && s.gossip.advertPeriodsLeft == 0
+}
 
-// drawGateways draws other regions and of each one of its gateways, the standby included.
-func drawGateways(region string, regions map[string][]membership.Entry, known bool, rng *rand.Rand) []partner {
+// drawGateways selects other regions and one gateway of each, which may be the standby.
+func drawGateways(region string, regions map[string][]membership.Entry, knowsSelf bool, rng *rand.Rand) []partner {
 	names := slices.Sorted(maps.Keys(regions))
 	names = slices.DeleteFunc(names, func(name string) bool { return name == region })
 	var drawn []partner
-	for _, name := range draw(names, partners, rng) {
-		drawn = append(drawn, drawGateway(name, regions[name], known, rng)...)
+	for _, name := range draw(names, partnersPerPeriod, rng) {
+		drawn = append(drawn, drawGateway(name, regions[name], knowsSelf, rng)...)
 	}
 	return drawn
 }
 
-// drawGateway draws one of the region's gateways.
-func drawGateway(region string, entries []membership.Entry, known bool, rng *rand.Rand) []partner {
+// drawGateway selects one of the region's gateways.
+func drawGateway(region string, entries []membership.Entry, knowsSelf bool, rng *rand.Rand) []partner {
 	names := membership.Rendezvous(region, entryNames(entries), gateways)
-	speaks := slices.DeleteFunc(slices.Clone(entries), func(e membership.Entry) bool { return !slices.Contains(names, e.Name) })
-	if rng.IntN(anyEntryOneIn) == 0 {
-		speaks = entries // Both gateways may have ended at once, and others have their places.
+	candidates := slices.DeleteFunc(slices.Clone(entries), func(e membership.Entry) bool { return !slices.Contains(names, e.Name) })
+	if rng.IntN(anyEntryOdds) == 0 {
+		candidates = entries // Both gateways may have failed at once and been replaced by other entries.
 	}
 	var drawn []partner
-	for _, e := range draw(speaks, 1, rng) {
-		drawn = append(drawn, partner{address: e.PeerAddress, global: true, knows: known})
+	for _, e := range draw(candidates, 1, rng) {
+		drawn = append(drawn, partner{address: e.PeerAddress, global: true, knowsSelf: knowsSelf})
 	}
 	return drawn
 }
 
-// localPartners returns how many entries of the region are asked in this period; the lock is held.
-func (s *state) localPartners(now time.Time) int {
-	if s.few(now) {
-		return partners
+// localPartnerCount returns the number of local partners in this period; the lock is held.
+func (s *state) localPartnerCount(now time.Time) int {
+	if s.smallRegion(now) {
+		return partnersPerPeriod
 	}
 	return 1
 }
 
-// tellsGlobal reports whether what all regions tell is asked for in this period; the lock is held.
-func (s *state) tellsGlobal(now time.Time) bool {
-	return s.few(now) || s.facts.period%slowGlobalPeriods == 0
+// asksGlobal reports whether global state is requested in this period; the lock is held.
+func (s *state) asksGlobal(now time.Time) bool {
+	return s.smallRegion(now) || s.gossip.period%slowGlobalPeriods == 0
 }
 
-// draw returns n of the items in random order.
+// draw returns up to n of the items in random order.
 func draw[T any](items []T, n int, rng *rand.Rand) []T {
 	drawn := slices.Clone(items)
 	rng.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
--- a/entry/path_bench_test.go
+++ b/entry/path_bench_test.go
@@ -10,11 +10,11 @@
 	"arbutusreel/stream"
 )
 
-// BenchmarkStream measures one streamed answer by the number of its tokens, the engine and the caller in the same process.
+// BenchmarkStream measures one streamed answer by its number of tokens, with engine and caller in the same process.
 func BenchmarkStream(b *testing.B) {
 	for _, tokens := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
-			g := newGateway(b, nil)
+			g := newTestEntry(b, nil)
 			g.announce("menu-model", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				answer := completion.Answer{Kind: completion.Chat, ID: r.Header.Get("X-Request-Id"), Model: "m"}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -24,7 +24,7 @@
 	maxForwardBytes    = 16 << 20
 )
 
-// peers holds the connections to the other entries.
+// peers manages the connections to the other entries.
 type peers struct {
 	state *state
 	self  string
@@ -37,7 +37,7 @@
 	return &peers{state: s, self: self, keys: source, conns: map[string]*grpc.ClientConn{}}
 }
 
-// client returns the client of the peer at the address, which is connected at its first use.
+// client returns a client of the peer at the address; the connection is established on first use.
 func (p *peers) client(address string) (wiregen.PeerClient, error) {
 	conn, err := p.conn(address)
 	if err != nil {
@@ -46,8 +46,9 @@
 	return wiregen.NewPeerClient(conn), nil
 }
 
-// connected returns the client of the peer at the address when a connection stands; otherwise nothing was sent.
-func (p *peers) connected(ctx context.Context, address string) (wiregen.PeerClient, error) {
+// connectedClient returns a client of the peer at the address once its connection is ready. Otherwise it returns an
+// error, and nothing was sent.
+func (p *peers) connectedClient(ctx context.Context, address string) (wiregen.PeerClient, error) {
 	conn, err := p.conn(address)
 	if err != nil {
 		return nil, err
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -13,42 +13,42 @@
 	"arbutusreel/wiregen"
 )
 
-// Bounds of what is counted for placement.
+// Limits and parameters of the demand counters.
 const (
 	maxDemands = 4096
-	// firstAnswerTokens is the expected length of a model's answer before the first one has ended.
-	firstAnswerTokens = 128
-	// answerWeight is the weight of one answer in the expected length.
-	answerWeight = 0.05
+	// initialAnswerTokens is the expected length of a model's answer until the first answer ends.
+	initialAnswerTokens = 128
+	// answerTokensGain is the smoothing factor of the expected length.
+	answerTokensGain = 0.05
 )
 
-// demandKey is what demand is counted for; allowed is the list of regions that the labels allow.
+// demandKey identifies a demand counter; allowed is the comma-separated list of regions that the labels allow.
 type demandKey struct {
 	service string
 	model   string
 	allowed string
 }
 
-// demandCount is what callers asked since the start.
+// demandCount is the demand since the entry started.
 type demandCount struct {
 	requests int64
 	tokens   float64
 }
 
-// demands counts what callers ask of each model; it is safe for concurrent use.
+// demands counts callers' requests by model; it is safe for concurrent use.
 type demands struct {
 	mu     sync.Mutex
 	counts map[demandKey]demandCount
-	// answers holds the expected length of an answer of each model, in tokens.
-	answers map[string]float64
+	// answerTokens holds the expected length of an answer of each model, in tokens.
+	answerTokens map[string]float64
 }
 
 func newDemands() *demands {
-	return &demands{counts: map[demandKey]demandCount{}, answers: map[string]float64{}}
+	return &demands{counts: map[demandKey]demandCount{}, answerTokens: map[string]float64{}}
 }
 
-// arrive counts a request of a caller, whether or not it will be served.
-func (d *demands) arrive(inv *inventory.Inventory, r dispatch.Request) {
+// countRequest counts a caller's request, whether or not it will be served. New keys beyond maxDemands are not counted.
+func (d *demands) countRequest(inv *inventory.Inventory, r dispatch.Request) {
 	allowed := residency.Allowed(inv, residency.Subject{Labels: r.Labels})
 	k := demandKey{service: r.Service, model: r.Model, allowed: strings.Join(allowed, ",")}
 	d.mu.Lock()
@@ -57,27 +57,27 @@
 	if !ok && len(d.counts) >= maxDemands {
 		return
 	}
-	expected, ok := d.answers[r.Model]
+	expected, ok := d.answerTokens[r.Model]
 	if !ok {
-		expected = firstAnswerTokens
+		expected = initialAnswerTokens
 	}
 	count.requests++
 	count.tokens += min(expected, float64(r.MaxTokens))
 	d.counts[k] = count
 }
 
-// answered learns the length of an answer.
-func (d *demands) answered(model string, tokens int) {
+// recordAnswer updates the expected length of the model's answers.
+func (d *demands) recordAnswer(model string, tokens int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	expected, ok := d.answers[model]
+	expected, ok := d.answerTokens[model]
 	if !ok {
 		expected = float64(tokens)
 	}
-	d.answers[model] = expected + answerWeight*(float64(tokens)-expected)
+	d.answerTokens[model] = expected + answerTokensGain*(float64(tokens)-expected)
 }
 
-// messages returns the counts in a fixed order.
+// messages returns the encoded counters in a fixed order.
 func (d *demands) messages() []*wiregen.ModelDemand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,14 +97,14 @@
 	return messages
 }
 
-// Region tells the placement leader what this entry knows of its region.
+// Region reports the state of the entry's region to the placement leader.
 func (n *Entry) Region(_ context.Context, m *wiregen.RegionRequest) (*wiregen.RegionReply, error) {
 	reply := &wiregen.RegionReply{
 		Name:        n.cfg.Self.Name,
 		Region:      n.cfg.Self.Region,
 		Entries:     wire.EncodeEntries(n.state.live()),
 		Demands:     n.demands.messages(),
-		Incarnation: n.began.UnixNano(),
+		Incarnation: n.startedAt.UnixNano(),
 	}
 	if m.GetEndpoints() {
 		reply.Endpoints = n.endpointStates(n.state.Endpoints())
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -8,8 +8,8 @@
 	"arbutusreel/routing"
 )
 
-// newSource returns a random source of the seed; if the seed is zero, one that differs each time.
-func newSource(seed uint64) rand.Source {
+// newRandSource returns a random source with the seed, or with a random seed if it is zero.
+func newRandSource(seed uint64) rand.Source {
 	if seed == 0 {
 		return rand.NewPCG(rand.Uint64(), rand.Uint64())
 	}
@@ -22,7 +22,8 @@
 	randomPolicy           = "random"
 )
 
-// newChooser returns the chooser of the policy; any other name than that of a baseline is that of the expected times.
+// newChooser returns the chooser of the policy. Any name but those of the baseline policies selects the policy of
+// expected times.
 func newChooser(policy string, now time.Time, source rand.Source) dispatch.Chooser {
 	switch policy {
 	case leastOutstandingPolicy:
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -9,27 +9,28 @@
 	"arbutusreel/membership"
 )
 
-// publishTimeout bounds one request to the directory.
+// publishTimeout is the timeout of one request to the directory.
 const publishTimeout = time.Second
 
-// self returns the entry's own advert; it counts as leaving while it is not ready, so that nobody uses it.
-func (n *Entry) self() membership.Entry {
+// selfAdvert returns a new advert of this entry. While the entry is not ready, the advert says that it is leaving, so
+// that it is not used.
+func (n *Entry) selfAdvert() membership.Entry {
 	e := n.cfg.Self
 	e.Leaving = !n.ready()
-	e.Incarnation = n.began.UnixNano()
+	e.Incarnation = n.startedAt.UnixNano()
 	e.Sequence = n.adverts.Add(1)
 	return n.withLedgerEpoch(e)
 }
 
-// publishLoop keeps the entry listed in the directory while it is ready.
+// publishLoop periodically publishes the entry in the directory, or removes it while it is not ready.
 func (n *Entry) publishLoop(ctx context.Context) {
 	every(ctx, publishPeriod, func() {
-		n.state.hear(n.self())
+		n.state.updateEntry(n.selfAdvert())
 		n.publish(ctx)
 	})
 }
 
-// publish lists the entry, or takes it off the list if it is not ready or is leaving.
+// publish adds the entry to the directory, or removes it if the entry is not ready or is leaving.
 func (n *Entry) publish(ctx context.Context) {
 	if n.cfg.DirectoryAddress == "" {
 		return
@@ -41,9 +42,9 @@
 	if !n.ready() {
 		err = client.Remove(ctx, n.cfg.Self.Name)
 	} else {
-		err = client.Publish(ctx, n.self())
+		err = client.Publish(ctx, n.selfAdvert())
 	}
 	if err != nil {
-		n.log.Warn().Err(err).Msg("directoryUnreachable")
+		n.log.Warn().Err(err).Msg("directory unreachable")
 	}
 }
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// marker stands in the content of requests and must not be logged.
+// marker is part of the content of requests and must not be logged.
 const marker = "grandmother-salt-marker"
 
-// refusal is what a caller reads of a problem.
+// refusal holds the fields of a problem that callers read.
 type refusal struct {
 	Code             string
 	Outcome          string
@@ -68,7 +68,7 @@
 		{"no endpoint", "POST", chatPath, chat(`,"model":"dish-check"`), nil, 503, "noCapacity", true},
 		{"no key", "POST", "/v1/services/club-desk/orders", marker, nil, 400, "idempotencyKeyRequired", false},
 	}
-	g := newGateway(t, nil)
+	g := newTestEntry(t, nil)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			status, header, body := g.do(tt.method, tt.path, tt.body, tt.headers)
@@ -98,7 +98,7 @@
 }
 
 func TestNotReady(t *testing.T) {
-	g := newGateway(t, nil)
+	g := newTestEntry(t, nil)
 	g.entry.state.mu.Lock()
 	g.entry.state.inventory, g.entry.state.revision = nil, 0
 	g.entry.state.mu.Unlock()
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestLeaving checks what a caller sees of an entry that leaves and then refuses.
+// TestLeaving checks the answers of an entry that is leaving, and of one that refuses new requests.
 func TestLeaving(t *testing.T) {
-	g := newGateway(t, nil)
+	g := newTestEntry(t, nil)
 	g.announce("menu-model", newEngine(0).Handler())
 	g.entry.leaving.Store(true)
 	resp, err := g.server.Client().Do(g.request(t.Context(), http.MethodPost, chatPath, plan, nil))
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestSlowSender sends a part of a request and waits.
+// TestSlowSender checks that a request whose body doesn't arrive in full is refused after the body timeout.
 func TestSlowSender(t *testing.T) {
-	g := newGateway(t, func(cfg *Config) { cfg.BodyTimeout = 100 * time.Millisecond })
+	g := newTestEntry(t, func(cfg *Config) { cfg.BodyTimeout = 100 * time.Millisecond })
 	conn, err := net.Dial("tcp", g.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/entry/repair.go
+++ b/entry/repair.go
@@ -14,13 +14,13 @@
 	"arbutusreel/wiregen"
 )
 
-// Findings of an operator.
+// Findings that an operator may report.
 const (
 	findingRan    = "ran"
 	findingNotRun = "notRun"
 )
 
-// listDoubtful answers the region's calls that may have run.
+// listDoubtful returns the region's calls that may have run without a recorded outcome.
 func (n *Entry) listDoubtful(r *http.Request) (proto.Message, error) {
 	doubtful, silent, epoch := n.runner.Doubtful(r.Context())
 	reply := &wiregen.RepairListReply{Region: n.cfg.Self.Region, Epoch: epoch, Silent: silent}
@@ -37,7 +37,7 @@
 	return reply, nil
 }
 
-// settleDoubtful settles a call of the region by an operator's finding.
+// settleDoubtful settles a call of the region according to an operator's finding.
 func (n *Entry) settleDoubtful(r *http.Request) (proto.Message, error) {
 	m, v, err := decodeFinding(r)
 	if err != nil {
@@ -58,11 +58,11 @@
 	}, nil
 }
 
-// decodeFinding reads what an operator found out; a malformed finding returns *problem.Problem.
+// decodeFinding reads an operator's finding. It returns a *problem.Problem if the finding is malformed.
 func decodeFinding(r *http.Request) (*wiregen.RepairRequest, ledger.Value, error) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		return nil, ledger.Value{}, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "the body is too long")
+		return nil, ledger.Value{}, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "the request body is too large")
 	}
 	m := &wiregen.RepairRequest{}
 	if err := wire.DecodeJSON(b, m); err != nil {
@@ -81,12 +81,12 @@
 		v.Outcome = wire.DecodeOutcome(m.GetOutcome())
 		v.Outcome.Kept = true
 	default:
-		return nil, v, problem.New(problem.MalformedRequest, http.StatusBadRequest, "field %q is %q or %q, and only %q goes with an outcome", "finding", findingRan, findingNotRun, findingRan)
+		return nil, v, problem.New(problem.MalformedRequest, http.StatusBadRequest, "field %q must be %q or %q, and only %q allows an outcome", "finding", findingRan, findingNotRun, findingRan)
 	}
 	return m, v, nil
 }
 
-// settleProblem returns the problem of a settlement that failed.
+// settleProblem returns the problem of a failed settlement.
 func settleProblem(err error) error {
 	var notFound *calls.NotFoundError
 	var inProgress *calls.InProgressError
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -9,7 +9,7 @@
 	"arbutusreel/problem"
 )
 
-// writeReply answers with a message as JSON under a status.
+// writeReply replies with a status and a message as JSON.
 func writeReply(w http.ResponseWriter, status int, m proto.Message) {
 	b, err := protojson.Marshal(m)
 	if err != nil {
--- a/entry/residency.go
+++ b/entry/residency.go
@@ -11,10 +11,9 @@
 	"arbutusreel/residency"
 )
 
-// arrivalLabels returns the labels of a caller's request, and refuses at once one whose data may not be in this region.
-//
-// It is called before the body is read.
-func (n *Entry) arrivalLabels(c caller, r *http.Request) ([]string, error) {
+// allowedLabels returns the labels of a caller's request. It refuses a request whose data must not be in this region,
+// and is called before the body is read.
+func (n *Entry) allowedLabels(c caller, r *http.Request) ([]string, error) {
 	labels, err := c.labels(r)
 	if err != nil {
 		return nil, err
@@ -25,7 +24,8 @@
 	return labels, nil
 }
 
-// residencyProblem returns the problem of a refusal; the request was not run.
+// residencyProblem returns the problem of a residency refusal, which means that the request was not run; other errors
+// are returned unchanged.
 func residencyProblem(err error) error {
 	var refused *residency.RefusedError
 	if !errors.As(err, &refused) {
@@ -34,8 +34,9 @@
 	return problem.New(problem.ResidencyRefused, http.StatusForbidden, "%s", refused.Error())
 }
 
-// checkLeaving refuses a forward to a region in which the data may not be; it returns the revision that it decided with.
-func (p *peers) checkLeaving(r dispatch.Request, region string) (int64, error) {
+// checkDestination refuses to forward a request to a region in which its data must not be. It returns the inventory
+// revision on which the decision is based.
+func (p *peers) checkDestination(r dispatch.Request, region string) (int64, error) {
 	inv, revision := p.state.Inventory()
 	if inv == nil {
 		return 0, problem.New(problem.NotReady, http.StatusServiceUnavailable, "instance %q has no inventory yet", p.self)
@@ -43,9 +44,8 @@
 	return revision, residencyProblem(residency.CheckData(inv, r.Team, r.Labels, region))
 }
 
-// checkForwarded refuses a forward whose data may not be here, decided with the receiver's own inventory.
-//
-// It returns the request with the labels that this inventory gives to its team.
+// checkForwarded refuses a forwarded request whose data must not be in this region according to the receiver's own
+// inventory. It returns the request with the labels that this inventory gives to the team.
 func (n *Entry) checkForwarded(r dispatch.Request, senderRevision int64) (dispatch.Request, error) {
 	inv, revision := n.state.Inventory()
 	if inv == nil {
@@ -67,8 +67,8 @@
 	return r, residencyProblem(err)
 }
 
-// usable returns the entries that the team's data may be sent to.
-func usable(inv *inventory.Inventory, team inventory.Team, entries []membership.Entry) []membership.Entry {
+// allowedEntries returns the entries to which the team's data may be sent.
+func allowedEntries(inv *inventory.Inventory, team inventory.Team, entries []membership.Entry) []membership.Entry {
 	var allowed []membership.Entry
 	for _, e := range entries {
 		if residency.CheckData(inv, team.Name, nil, e.Region) == nil {
--- a/entry/servers.go
+++ b/entry/servers.go
@@ -12,25 +12,25 @@
 	"arbutusreel/wiregen"
 )
 
-// Limits of the connections between entries.
+// Keepalive parameters of the connections between entries.
 const (
-	peerIdlePing    = 5 * time.Second
-	peerPingPeriod  = 10 * time.Second
-	peerPingTimeout = 5 * time.Second
-	peerLeastPing   = 2 * time.Second
+	peerIdlePingPeriod = 5 * time.Second
+	peerPingPeriod     = 10 * time.Second
+	peerPingTimeout    = 5 * time.Second
+	peerMinPingPeriod  = 2 * time.Second
 )
 
-// shutdownTimeout bounds the wait for connections to close when no request is in progress.
+// shutdownTimeout is how long shutdown waits for connections to close when no request is in progress.
 const shutdownTimeout = 2 * time.Second
 
-// servers are the servers of an entry.
+// servers holds the servers of an entry.
 type servers struct {
 	callers   *http.Server
 	endpoints *http.Server
 	peers     *grpc.Server
 }
 
-// newServers returns the servers; the requests of callers end with the context requests.
+// newServers returns the servers; callers' requests are cancelled when the context requests ends.
 func (n *Entry) newServers(requests context.Context) servers {
 	s := servers{
 		callers: &http.Server{
@@ -44,17 +44,17 @@
 		peers: grpc.NewServer(
 			grpc.Creds(n.cfg.Keys.Server()),
 			grpc.MaxRecvMsgSize(maxForwardBytes+int(n.cfg.MaxBodyBytes)),
-			grpc.KeepaliveParams(keepalive.ServerParameters{Time: peerIdlePing, Timeout: peerPingTimeout}),
-			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: peerLeastPing, PermitWithoutStream: true}),
+			grpc.KeepaliveParams(keepalive.ServerParameters{Time: peerIdlePingPeriod, Timeout: peerPingTimeout}),
+			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: peerMinPingPeriod, PermitWithoutStream: true}),
 		),
 	}
 	wiregen.RegisterPeerServer(s.peers, n)
 	wiregen.RegisterPlacementServer(s.peers, n)
-	wiregen.RegisterLimitsServer(s.peers, limitsServer{rates: n.rates})
+	wiregen.RegisterLimitsServer(s.peers, limitsServer{limiter: n.limiter})
 	return s
 }
 
-// shutdown closes the servers; a request that came in the meantime is answered first.
+// shutdown closes the servers gracefully: requests that arrive meanwhile are answered within shutdownTimeout.
 func (s servers) shutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
--- a/entry/services.go
+++ b/entry/services.go
@@ -12,30 +12,30 @@
 	"arbutusreel/residency"
 )
 
-// service answers a call of a plain service.
+// service serves a call of a plain service.
 func (n *Entry) service(w http.ResponseWriter, r *http.Request, c caller) {
 	began := time.Now()
-	class, held, err := n.hold(c, r)
+	class, reserved, err := n.reserveRequest(c, r)
 	if err != nil {
-		n.fail(w, c, beforeLedger(keyOf(r), err))
+		n.fail(w, c, unknownOutcomeIfKeyed(idempotencyKey(r), err))
 		return
 	}
 	req, s, err := n.serviceRequest(w, r, c, class)
 	if err != nil {
-		held.release()
-		n.fail(w, c, beforeLedger(keyOf(r), err))
+		reserved.release()
+		n.fail(w, c, unknownOutcomeIfKeyed(idempotencyKey(r), err))
 		return
 	}
-	held.settle(int64(len(req.Body)))
+	reserved.shrink(int64(len(req.Body)))
 	ctx, cancel := context.WithDeadline(r.Context(), req.Deadline)
 	defer cancel()
-	reply, err := n.call(ctx, req, s, c.team.HomeRegion, held.release)
+	reply, err := n.call(ctx, req, s, c.team.HomeRegion, reserved.release)
 	if err != nil {
 		n.fail(w, c, err)
 		return
 	}
 	w.Header().Set("Content-Type", reply.ContentType)
-	n.limitWrite(w)
+	n.setWriteTimeout(w)
 	w.WriteHeader(reply.Status)
 	_, _ = w.Write(reply.Body)
 	n.metrics.Count(answeredCode)
@@ -50,8 +50,8 @@
 		Msg("answered")
 }
 
-// call sends a call; one that may not be repeated goes through the ledger of the caller's home region. It calls release
-// once the call holds no memory any more, which may be after the caller has gone.
+// call runs a call; one that must not be repeated goes through the ledger of the team's home region. It calls release
+// once the call holds no memory any more, which may be after the caller has disconnected.
 func (n *Entry) call(ctx context.Context, req dispatch.Request, s inventory.Service, home string, release func()) (dispatch.Reply, error) {
 	if !s.Idempotent && home == n.cfg.Self.Region {
 		return n.runner.RunThen(ctx, req, release)
@@ -60,17 +60,18 @@
 	if s.Idempotent {
 		return n.dispatcher.Call(ctx, req)
 	}
-	if !n.keepsBody(req, home) {
-		err := problem.New(problem.ResidencyRefused, http.StatusForbidden, "the request may not enter home region %q, whose ledger holds its key", home)
-		return dispatch.Reply{}, beforeLedger(req.IdempotencyKey, err)
+	if !n.dataAllowedIn(req, home) {
+		err := problem.New(problem.ResidencyRefused, http.StatusForbidden, "the request must not enter home region %q, whose ledger holds its key", home)
+		return dispatch.Reply{}, unknownOutcomeIfKeyed(req.IdempotencyKey, err)
 	}
 	self := dispatch.Hop{Instance: n.cfg.Self.Name, Region: n.cfg.Self.Region}
 	reply, err := n.peers.ForwardCall(ctx, home, req.WithHop(self))
-	return reply, earlierTries(err)
+	return reply, unknownOutcomeIfUnchecked(err)
 }
 
-// earlierTries widens a refusal of a forwarded call that the home region's ledger may not have been asked about.
-func earlierTries(err error) error {
+// unknownOutcomeIfUnchecked sets the outcome of a forwarded call's refusal to unknown if the home region may not have
+// checked its ledger: an earlier attempt with the same key may have run.
+func unknownOutcomeIfUnchecked(err error) error {
 	var p *problem.Problem
 	if !errors.As(err, &p) {
 		return err
@@ -83,17 +84,18 @@
 	}
 }
 
-// keyOf returns the idempotency key of a call of a plain service; requests on other routes have none.
-func keyOf(r *http.Request) string {
+// idempotencyKey returns the idempotency key of a plain service's call; requests on other routes have none.
+func idempotencyKey(r *http.Request) string {
 	if r.PathValue("service") == "" {
 		return ""
 	}
 	return r.Header.Get(keyHeader)
 }
 
-// beforeLedger widens a refusal of a call that the ledger was not asked about: an earlier try with its key may have run.
-// A request that is too large was so at each try.
-func beforeLedger(key string, err error) error {
+// unknownOutcomeIfKeyed sets the outcome to unknown for a call that is refused before the ledger was checked: an
+// earlier attempt with the same key may have run. A body that is too large is an exception, since every attempt was
+// refused for it.
+func unknownOutcomeIfKeyed(key string, err error) error {
 	var p *problem.Problem
 	if key == "" || !errors.As(err, &p) || p.Code == problem.BodyTooLarge {
 		return err
@@ -101,11 +103,13 @@
 	return p.WithOutcome(problem.Unknown)
 }
 
-// keepsAnswer reports whether the own region may store the answer of a request.
-func (n *Entry) keepsAnswer(req dispatch.Request) bool { return n.keepsBody(req, n.cfg.Self.Region) }
+// mayStoreAnswer reports whether the answer of a request may be stored in this region.
+func (n *Entry) mayStoreAnswer(req dispatch.Request) bool {
+	return n.dataAllowedIn(req, n.cfg.Self.Region)
+}
 
-// keepsBody reports whether the data of a request may be in the region.
-func (n *Entry) keepsBody(req dispatch.Request, region string) bool {
+// dataAllowedIn reports whether the data of a request may be in the region.
+func (n *Entry) dataAllowedIn(req dispatch.Request, region string) bool {
 	inv, _ := n.state.Inventory()
 	return inv != nil && residency.Allows(inv, req.Subject(), region)
 }
@@ -115,11 +119,11 @@
 	if !ok || s.Kind != inventory.KindPlain {
 		return dispatch.Request{}, s, problem.New(problem.UnknownService, http.StatusNotFound, "no plain service has the name %q", r.PathValue("service"))
 	}
-	labels, err := n.arrivalLabels(c, r)
+	labels, err := n.allowedLabels(c, r)
 	if err != nil {
 		return dispatch.Request{}, s, err
 	}
-	body, err := n.body(w, r)
+	body, err := n.readBody(w, r)
 	if err != nil {
 		return dispatch.Request{}, s, err
 	}
@@ -138,7 +142,7 @@
 		ContentType:    r.Header.Get("Content-Type"),
 		Body:           body,
 		Deadline:       time.Now().Add(class.Patience),
-		IdempotencyKey: keyOf(r),
+		IdempotencyKey: idempotencyKey(r),
 		Epoch:          r.Header.Get(epochHeader),
 	}, s, nil
 }
--- a/entry/state.go
+++ b/entry/state.go
@@ -12,23 +12,23 @@
 	"arbutusreel/wiregen"
 )
 
-// viewPeriod is how long a list of endpoints is used again.
+// viewPeriod is how long a computed list of endpoints or entries is reused.
 const viewPeriod = 20 * time.Millisecond
 
-// summaryAges is how many periods a summary is used for.
-const summaryAges = 3
+// summaryTTLPeriods is the number of periods for which a summary is used.
+const summaryTTLPeriods = 3
 
-// state is what the instance knows; it is safe for concurrent use.
+// state is the instance's view of the system; it is safe for concurrent use.
 type state struct {
 	mu      sync.Mutex
 	region  string
 	now     func() time.Time
 	table   *membership.Table
 	entries *membership.Entries
-	facts   *facts
-	// view holds the endpoints as of viewAt.
-	view   []membership.Endpoint
-	viewAt time.Time
+	gossip  *gossipState
+	// endpointView holds the endpoints as of endpointViewAt.
+	endpointView   []membership.Endpoint
+	endpointViewAt time.Time
 	// entryView holds the live entries as of entryViewAt.
 	entryView   []membership.Entry
 	entryViewAt time.Time
@@ -45,7 +45,7 @@
 		now:     now,
 		table:   membership.NewTable(),
 		entries: membership.NewEntries(entryTTL),
-		facts:   newFacts(now(), self),
+		gossip:  newGossipState(now(), self),
 	}
 }
 
@@ -56,7 +56,7 @@
 	return s.inventory, s.revision
 }
 
-// adopt takes an inventory into force if its revision is higher, and reports whether it did.
+// adopt puts an inventory in force if its revision is higher than the current one, and reports whether it did.
 func (s *state) adopt(inv *inventory.Inventory, revision int64, source string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,46 +69,49 @@
 	return true
 }
 
-// Endpoints returns the endpoints of the region; the caller does not change the list.
+// Endpoints returns the endpoints of the region; the caller must not modify the slice.
 func (s *state) Endpoints() []membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpointsNow(s.now())
 }
 
-// endpointsNow returns the endpoints that announce themselves here or at a live entry of the region; the lock is held.
+// endpointsNow returns the endpoints that announce themselves at this instance or at a live entry of the region; the
+// lock is held.
 func (s *state) endpointsNow(now time.Time) []membership.Endpoint {
-	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= viewPeriod || now.Before(s.viewAt) {
-		endpoints, _, _ := s.facts.believed(now)
-		s.view = membership.NewestEndpoints(append(endpoints, s.table.Endpoints(now)...))
-		s.viewAt = now
+	if s.endpointViewAt.IsZero() || now.Sub(s.endpointViewAt) >= viewPeriod || now.Before(s.endpointViewAt) {
+		endpoints, _, _ := s.gossip.liveFacts(now)
+		s.endpointView = membership.NewestEndpoints(append(endpoints, s.table.Endpoints(now)...))
+		s.endpointViewAt = now
 	}
-	return s.view
+	return s.endpointView
 }
 
 func (s *state) announce(e membership.Endpoint, lease time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.viewAt = time.Time{}
+	s.endpointViewAt = time.Time{}
 	return s.table.Announce(s.now(), e, lease)
 }
 
-// renew renews an endpoint's lease and reports whether the instance holds the whole announcement that is renewed.
+// renew renews an endpoint's lease. It reports whether this instance holds the full announcement to which the renewal
+// refers.
 func (s *state) renew(r membership.Renewal, lease time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.viewAt = time.Time{}
+	s.endpointViewAt = time.Time{}
 	return s.table.Renew(s.now(), r, lease)
 }
 
-// lease returns what is left of an endpoint's lease; that of one that announces itself elsewhere lasts as long as its entry is believed.
+// lease returns the remaining time of an endpoint's lease. If the endpoint announces itself at another entry, it
+// returns how long that entry is considered live.
 func (s *state) lease(name string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lease := s.table.Lease(s.now(), name); lease > 0 {
 		return lease
 	}
-	return s.facts.localTTL()
+	return s.gossip.localTTL()
 }
 
 func (s *state) expire() []membership.Endpoint {
@@ -117,94 +120,95 @@
 	return s.table.Expire(s.now())
 }
 
-func (s *state) hear(e membership.Entry) {
+func (s *state) updateEntry(e membership.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries.Hear(s.now(), e)
 }
 
-// live returns the entries that were heard of lately.
+// live returns the entries that are considered live.
 func (s *state) live() []membership.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.liveNow(s.now()))
 }
 
-// liveNow returns the live entries, which the caller does not change; the lock is held.
+// liveNow returns the live entries, which the caller must not modify; the lock is held.
 func (s *state) liveNow(now time.Time) []membership.Entry {
 	if s.entryViewAt.IsZero() || now.Sub(s.entryViewAt) >= viewPeriod || now.Before(s.entryViewAt) {
-		_, entries, _ := s.facts.believed(now)
+		_, entries, _ := s.gossip.liveFacts(now)
 		s.entryView = membership.NewestEntries(append(entries, s.entries.Live(now)...))
 		s.entryViewAt = now
 	}
 	return s.entryView
 }
 
-// Summaries returns what is known of the other regions, in the order of region and service.
+// Summaries returns the known summaries of the other regions, ordered by region and service.
 func (s *state) Summaries() []membership.Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	_, _, summaries := s.facts.believed(now)
-	limit := max(summaryTTL, summaryAges*s.summaryPeriod(now))
-	if s.facts.slow {
-		// A summary is used until the standby of its gateway tells another.
-		limit = summaryAges * slowSummaryPeriod
+	_, _, summaries := s.gossip.liveFacts(now)
+	limit := max(summaryTTL, summaryTTLPeriods*s.summaryPeriod(now))
+	if s.gossip.slowExchange {
+		// A summary must stay valid until the gateway's standby takes over and reports a new one.
+		limit = summaryTTLPeriods * slowSummaryPeriod
 	}
 	return slices.DeleteFunc(membership.NewestSummaries(summaries), func(summary membership.Summary) bool {
 		return summary.Region == s.region || now.Sub(summary.At) > limit
 	})
 }
 
-// marks returns how far each origin is known, of what the partner is asked for.
-func (s *state) marks(p partner) asked {
+// marks returns the known version of each origin, for the state that is requested from the partner.
+func (s *state) marks(p partner) exchangeMarks {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	var a asked
+	var a exchangeMarks
 	if p.local {
-		a.local = s.facts.local.Marks(now, s.facts.localTTL())
+		a.local = s.gossip.local.Marks(now, s.gossip.localTTL())
 	}
 	if p.global {
-		a.global = s.facts.global.Marks(now, s.facts.globalTTL())
+		a.global = s.gossip.global.Marks(now, s.gossip.globalTTL())
 	}
 	return a
 }
 
-// answer adds to a reply what the sender of a request does not know; what entries of the region tell is for the region alone.
-func (s *state) answer(m *wiregen.ExchangeRequest, reply *wiregen.ExchangeReply) {
+// addMissing adds the state that the sender of a request lacks to the reply; local state is sent within the region
+// only.
+func (s *state) addMissing(m *wiregen.ExchangeRequest, reply *wiregen.ExchangeReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	if !m.GetWithoutLocal() && m.GetRegion() == s.region {
-		reply.UnknownSender = !slices.Contains(s.facts.local.Live(now, s.facts.localTTL()), m.GetSender())
-		reply.LocalBeats, reply.Local = missing(now, s.facts.local, s.facts.localTTL(), m.GetLocal())
+		reply.UnknownSender = !slices.Contains(s.gossip.local.Live(now, s.gossip.localTTL()), m.GetSender())
+		reply.LocalBeats, reply.Local = encodeMissing(now, s.gossip.local, s.gossip.localTTL(), m.GetLocal())
 	}
 	if !m.GetWithoutGlobal() {
-		reply.GlobalBeats, reply.Global = missing(now, s.facts.global, s.facts.globalTTL(), m.GetGlobal())
+		reply.GlobalBeats, reply.Global = encodeMissing(now, s.gossip.global, s.gossip.globalTTL(), m.GetGlobal())
 	}
 }
 
-func missing(now time.Time, share *membership.Share[membership.Fact], ttl time.Duration, m *wiregen.ShareMarks) (*wiregen.ShareBeats, []*wiregen.ShareDelta) {
+func encodeMissing(now time.Time, share *membership.Share[membership.Fact], ttl time.Duration, m *wiregen.ShareMarks) (*wiregen.ShareBeats, []*wiregen.ShareDelta) {
 	marks, positions := wire.DecodeMarks(m, share.Marks(now, ttl))
 	beats, deltas := wire.EncodeBeats(share.Missing(now, ttl, marks), m, positions)
 	return beats, wire.EncodeDeltas(now, deltas)
 }
 
-// learn takes what a peer answered to the marks.
-func (s *state) learn(a asked, m *wiregen.ExchangeReply) {
+// applyReply merges a peer's reply to a request with these marks.
+func (s *state) applyReply(marks exchangeMarks, m *wiregen.ExchangeReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	if m.GetUnknownSender() {
-		s.facts.adverts = advertPeriods
+		s.gossip.advertPeriodsLeft = advertPeriods
 	}
-	learn(now, s.facts.local, s.facts.localTTL(), a.local, m.GetLocalBeats(), m.GetLocal())
-	learn(now, s.facts.global, s.facts.globalTTL(), a.global, m.GetGlobalBeats(), m.GetGlobal())
-	s.viewAt = time.Time{}
+	applyDeltas(now, s.gossip.local, s.gossip.localTTL(), marks.local, m.GetLocalBeats(), m.GetLocal())
+	applyDeltas(now, s.gossip.global, s.gossip.globalTTL(), marks.global, m.GetGlobalBeats(), m.GetGlobal())
+	s.endpointViewAt = time.Time{}
 }
 
-func learn(now time.Time, share *membership.Share[membership.Fact], ttl time.Duration, marks []membership.Mark, beats *wiregen.ShareBeats, deltas []*wiregen.ShareDelta) {
+func applyDeltas(now time.Time, share *membership.Share[membership.Fact], ttl time.Duration, marks []membership.Mark, beats *wiregen.ShareBeats, deltas []*wiregen.ShareDelta) {
 	share.Learn(now, wire.DecodeBeats(beats, marks))
 	share.Learn(now, wire.DecodeDeltas(now, deltas, share.Marks(now, ttl)))
 	share.Forget(now, ttl)
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -15,21 +15,22 @@
 	"arbutusreel/stream"
 )
 
-// Bounds of the memory of one answer.
+// Limits of the memory of one answer.
 const (
 	writerEvents   = 64
 	maxAnswerBytes = 8 << 20
 )
 
-// event is one server-sent event on its way to the caller; the last one ends the answer.
+// event is a server-sent event; the last one ends the answer.
 type event struct {
 	name string
 	data []byte
 	last bool
 }
 
-// writer is the sink of one answer to a caller. A streamed answer goes through a bounded ring to a goroutine that
-// writes it, so that a caller that reads slowly holds up the engine, and one that stopped reading cancels it.
+// writer is the sink of one answer to a caller. A streamed answer goes through a bounded ring buffer to a goroutine
+// that writes it. A caller that reads slowly therefore applies backpressure to the engine, and one that has stopped
+// reading cancels the answer.
 type writer struct {
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
@@ -39,33 +40,34 @@
 	timeout   time.Duration
 	events    *ring.Ring[event]
 	done      chan struct{}
-	// failure is why the last write failed; it is read after done is closed.
+	// failure is the error of the last write; it is read only after done is closed.
 	failure error
 	text    strings.Builder
 	pieces  int
-	// first is called when the first piece was taken, and written when it was written to the caller.
-	first, written func()
+	// onFirstPiece is called when the first piece arrives, and onFirstWrite when it has been written to the caller.
+	onFirstPiece, onFirstWrite func()
 }
 
 var _ stream.Sink = (*writer)(nil)
 
-// newWriter returns a sink whose context ends when the caller is gone or has not read for timeout.
+// newWriter returns a sink whose context ends when the caller disconnects or doesn't read within the timeout.
 func newWriter(ctx context.Context, w http.ResponseWriter, answer completion.Answer, streaming bool, timeout time.Duration) *writer {
 	ctx, cancel := context.WithCancelCause(ctx)
-	return &writer{ctx: ctx, cancel: cancel, w: w, answer: answer, streaming: streaming, timeout: timeout, first: func() {}, written: func() {}}
+	return &writer{ctx: ctx, cancel: cancel, w: w, answer: answer, streaming: streaming, timeout: timeout, onFirstPiece: func() {}, onFirstWrite: func() {}}
 }
 
-// started reports whether a part of the answer is on its way to the caller.
+// started reports whether writing the answer to the caller has begun.
 func (s *writer) started() bool { return s.done != nil }
 
-// Piece sends a piece of a streamed answer, waiting while the caller reads slowly, or keeps it for a whole one.
+// Piece enqueues a piece of a streamed answer, and blocks while the ring is full. For an answer that is not streamed it
+// buffers the piece.
 func (s *writer) Piece(p stream.Piece) error {
 	s.pieces++
 	if s.pieces == 1 {
-		s.first()
+		s.onFirstPiece()
 	}
 	if s.streaming {
-		return s.put(event{data: s.answer.Chunk(p)})
+		return s.enqueue(event{data: s.answer.Chunk(p)})
 	}
 	if s.text.Len()+len(p.Text) > maxAnswerBytes {
 		return &AnswerTooLargeError{Limit: maxAnswerBytes}
@@ -74,7 +76,7 @@
 	return nil
 }
 
-func (s *writer) put(e event) error {
+func (s *writer) enqueue(e event) error {
 	if !s.started() {
 		s.start()
 	}
@@ -91,14 +93,14 @@
 	s.done = make(chan struct{})
 	go func() {
 		defer close(s.done)
-		s.write()
+		s.writeEvents()
 	}()
 }
 
-// write writes events until the last one or a failure, which cancels the answer.
-func (s *writer) write() {
+// writeEvents writes events until the last one or until a write fails, which cancels the answer.
+func (s *writer) writeEvents() {
 	var b []byte
-	for written := s.written; ; written = func() {} {
+	for written := s.onFirstWrite; ; written = func() {} {
 		e, err := s.events.Take(s.ctx)
 		if err != nil {
 			return
@@ -118,8 +120,8 @@
 	}
 }
 
-// cause returns why the caller cannot receive the answer, or nil if it can; net/http ends the context of a connection
-// that failed before the writer can say why.
+// cause returns why the caller cannot receive the answer, or nil if it can. It waits for the writer's error, since
+// net/http may end the context of a failed connection before that error is known.
 func (s *writer) cause() error {
 	if s.ctx.Err() == nil {
 		return nil
@@ -133,7 +135,8 @@
 	return context.Cause(s.ctx)
 }
 
-// flush writes bytes to the caller's connection; a caller that takes none for the timeout returns *ReaderStoppedError.
+// flush writes bytes to the caller's connection. It returns *ReaderStoppedError if the caller reads nothing within the
+// timeout.
 func (s *writer) flush(b []byte) error {
 	control := http.NewResponseController(s.w)
 	if err := control.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil {
@@ -157,20 +160,20 @@
 		s.w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 		return s.flush(b)
 	}
-	if err := s.put(event{data: s.answer.End(end)}); err != nil {
+	if err := s.enqueue(event{data: s.answer.End(end)}); err != nil {
 		return err
 	}
 	return s.close(event{data: []byte(completion.Done), last: true})
 }
 
-// fail ends a started answer with its problem; no Done event follows.
+// fail ends a started answer with an error event; no Done event follows.
 func (s *writer) fail(p *problem.Problem, correlationID string) {
 	_ = s.close(event{name: "error", data: problem.Encode(p, correlationID), last: true})
 }
 
-// close sends the last event and waits until it is written or has failed.
+// close enqueues the last event and waits until it is written or has failed.
 func (s *writer) close(last event) error {
-	err := s.put(last)
+	err := s.enqueue(last)
 	<-s.done
 	if s.failure != nil {
 		return s.failure
@@ -178,7 +181,7 @@
 	return err
 }
 
-// stop releases what the answer holds; nothing is written afterwards.
+// stop releases the resources of the answer; nothing is written afterwards.
 func (s *writer) stop() {
 	s.cancel(nil)
 	if s.started() {
@@ -186,7 +189,7 @@
 	}
 }
 
-// append adds the event's bytes to b.
+// append appends the encoded event to b.
 func (e event) append(b []byte) []byte {
 	if e.name != "" {
 		b = append(b, "event: "...)
--- a/systemtest/domains_test.go
+++ b/systemtest/domains_test.go
@@ -33,7 +33,7 @@
 	move("lahore-a")
 	d.until("each entry tells the domain", func() bool { return told() == len(d.entries) })
 	d.until("the status tells the domain", func() bool { return strings.Contains(status(), `"ledgerFatalDomain": "lahore-a"`) })
-	if !strings.Contains(d.entries[0].logged(), "ledgerInOneDomain") {
+	if !strings.Contains(d.entries[0].logged(), "ledger depends on one failure domain") {
 		t.Error("no log line tells the domain")
 	}
 	move("lahore-b")
