--- a/cmd/arbutusreel/change.go
+++ b/cmd/arbutusreel/change.go
@@ -15,13 +15,14 @@
 	"arbutusreel/wiregen"
 )
 
-// inventoryFile is an inventory and, if the file is what the get command printed, the revision it was made from.
+// inventoryFile is an inventory and the revision that it is based on, which is set only if the file is the output of the
+// get command.
 type inventoryFile struct {
 	inventory *wiregen.Inventory
 	revision  int64
 }
 
-// readInventory reads and checks an inventory.
+// readInventory reads and validates an inventory file.
 func readInventory(file string) (inventoryFile, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -39,33 +40,33 @@
 	return f, err
 }
 
-// change is the arguments of the commands that compare or replace the inventory.
-type change struct {
+// changeOptions holds the arguments of the commands that validate, compare or change the inventory.
+type changeOptions struct {
 	file     string
 	expected string
 	changeID string
 	wait     bool
 }
 
-func (a *change) bindFile(sub *flaggy.Subcommand) {
-	sub.AddPositionalValue(&a.file, "file", 1, true, "File with the inventory in JSON, or what the get command printed.")
+func (a *changeOptions) bindFile(sub *flaggy.Subcommand) {
+	sub.AddPositionalValue(&a.file, "file", 1, true, "File with the inventory in JSON, or with the output of the get command.")
 }
 
-func (a *change) bindChange(sub *flaggy.Subcommand) {
-	sub.String(&a.changeID, "", "changeId", "Id of the change, by which a resend is known; without it a random one.")
+func (a *changeOptions) bindChange(sub *flaggy.Subcommand) {
+	sub.String(&a.changeID, "", "changeId", "Id of the change, by which a retry is recognized; random by default.")
 	sub.Bool(&a.wait, "", "wait", "Waits until the revision is in force at every live instance.")
 }
 
 func applyCommand() *command {
 	m := &wiregen.OperatorSettings{}
-	a := &change{}
+	a := &changeOptions{}
 	return &command{
 		name:     "apply",
 		doc:      "Replaces the inventory if the expected revision is in force.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
 			a.bindFile(sub)
-			sub.String(&a.expected, "", "expected", "Revision that must be in force; without it that of the file, or the present one.")
+			sub.String(&a.expected, "", "expected", "Revision that must be in force; by default that of the file, or else the current one.")
 			a.bindChange(sub)
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
@@ -80,7 +81,7 @@
 	}
 }
 
-func (a *change) apply(ctx context.Context, c *operator.Client, by string, f inventoryFile, stdout io.Writer) error {
+func (a *changeOptions) apply(ctx context.Context, c *operator.Client, by string, f inventoryFile, stdout io.Writer) error {
 	revision, err := a.expectedRevision(ctx, c, f)
 	if err != nil {
 		return err
@@ -88,18 +89,19 @@
 	return a.propose(ctx, c, by, revision, f.inventory, stdout)
 }
 
-// propose proposes an inventory in the name of an operator, if the expected revision is in force.
-func (a *change) propose(ctx context.Context, c *operator.Client, by string, expected int64, inv *wiregen.Inventory, stdout io.Writer) error {
-	a.identify()
+// propose submits an inventory on behalf of an operator. It is accepted only if the expected revision is in force.
+func (a *changeOptions) propose(ctx context.Context, c *operator.Client, by string, expected int64, inv *wiregen.Inventory, stdout io.Writer) error {
+	a.ensureChangeID()
 	reply, err := c.Apply(ctx, &wiregen.ApplyRequest{ExpectedRevision: expected, ChangeId: a.changeID, Inventory: inv, Operator: by})
 	if err != nil {
 		return err
 	}
-	return a.report(ctx, c, reply, stdout)
+	return a.printAccepted(ctx, c, reply, stdout)
 }
 
-// report prints an accepted change, and waits until it is in force if that is asked for.
-func (a *change) report(ctx context.Context, c *operator.Client, reply *wiregen.ApplyReply, stdout io.Writer) error {
+// printAccepted prints an accepted change and, if the wait flag is set, waits until it is in force at every live
+// instance.
+func (a *changeOptions) printAccepted(ctx context.Context, c *operator.Client, reply *wiregen.ApplyReply, stdout io.Writer) error {
 	fmt.Fprintf(stdout, "revision %d accepted, change %s\n", reply.GetRevision(), a.changeID)
 	if !a.wait {
 		return nil
@@ -112,15 +114,16 @@
 	return nil
 }
 
-// identify gives the change an id if it has none.
-func (a *change) identify() {
+// ensureChangeID sets a random change id if none is given.
+func (a *changeOptions) ensureChangeID() {
 	if a.changeID == "" {
 		a.changeID = rand.Text()
 	}
 }
 
-// expectedRevision returns the revision that must be in force: the one of the flag, of the file, or the present one.
-func (a *change) expectedRevision(ctx context.Context, c *operator.Client, f inventoryFile) (int64, error) {
+// expectedRevision returns the revision that must be in force: that of the flag, else of the file, else the current
+// one.
+func (a *changeOptions) expectedRevision(ctx context.Context, c *operator.Client, f inventoryFile) (int64, error) {
 	if a.expected == "" && f.revision > 0 {
 		return f.revision, nil
 	}
@@ -131,8 +134,8 @@
 	return a.flagRevision()
 }
 
-// flagRevision returns the revision of the flag, or zero without one.
-func (a *change) flagRevision() (int64, error) {
+// flagRevision returns the revision given by the flag, or zero if there is none.
+func (a *changeOptions) flagRevision() (int64, error) {
 	if a.expected == "" {
 		return 0, nil
 	}
@@ -145,10 +148,10 @@
 
 func diffCommand() *command {
 	m := &wiregen.OperatorSettings{}
-	a := &change{}
+	a := &changeOptions{}
 	return &command{
 		name:     "diff",
-		doc:      "Prints what a file would change in the inventory in force.",
+		doc:      "Prints the differences between the inventory in force and a file.",
 		settings: m,
 		bind:     a.bindFile,
 		run: func(ctx context.Context, stdout io.Writer) error {
@@ -169,7 +172,7 @@
 		return err
 	}
 	if f.revision > 0 && f.revision != reply.GetRevision() {
-		fmt.Fprintf(stdout, "the file was made from revision %d; revision %d is in force\n", f.revision, reply.GetRevision())
+		fmt.Fprintf(stdout, "the file is based on revision %d; revision %d is in force\n", f.revision, reply.GetRevision())
 	}
 	inForce := reply.GetInventory()
 	if inForce == nil {
@@ -182,10 +185,10 @@
 }
 
 func checkCommand() *command {
-	a := &change{}
+	a := &changeOptions{}
 	return &command{
 		name: "check",
-		doc:  "Checks an inventory without applying it.",
+		doc:  "Validates an inventory without applying it.",
 		bind: a.bindFile,
 		run: func(_ context.Context, stdout io.Writer) error {
 			if _, err := readInventory(a.file); err != nil {
--- a/cmd/arbutusreel/client.go
+++ b/cmd/arbutusreel/client.go
@@ -16,7 +16,7 @@
 	"arbutusreel/wiregen"
 )
 
-// withClient runs f with a client of the control voters, within the timeout.
+// withClient calls f with a client of the configured servers and a context that ends after the configured timeout.
 func withClient(ctx context.Context, m *wiregen.OperatorSettings, f func(context.Context, *operator.Client) error) error {
 	token, err := readToken(m.GetTokenFile())
 	if err != nil {
@@ -43,7 +43,7 @@
 	return strings.TrimSpace(string(b)), err
 }
 
-// printReply prints an answer as JSON.
+// printReply writes a reply as JSON.
 func printReply(stdout io.Writer, reply proto.Message) error {
 	b, err := wire.EncodeJSON(reply)
 	if err != nil {
--- a/cmd/arbutusreel/daemons.go
+++ b/cmd/arbutusreel/daemons.go
@@ -24,7 +24,8 @@
 // logTimeFormat is the time format of log lines: RFC 3339 with microseconds.
 const logTimeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// newLogger returns a logger of JSON lines that name the instance; lines that explain decisions are kept as well.
+// newLogger returns a logger that writes JSON lines with the role, name and region of the instance to stderr and to the
+// decision store, which keeps those that explain decisions.
 func newLogger(level, role, name, region string, decisions *decision.Store) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -35,18 +36,18 @@
 		Str("role", role).Str("instance", name).Str("region", region).Logger(), nil
 }
 
-// tlsSettings are the settings of TLS that daemons share.
+// tlsSettings are the TLS settings common to all daemons.
 type tlsSettings interface {
 	GetTlsCertificateFile() string
 	GetTlsKeyFile() string
 	GetTlsAuthorityFile() string
 }
 
-// newKeys returns the source of the files that the settings name.
-func newKeys(m tlsSettings, log zerolog.Logger) (*keys.Source, error) {
+// newKeySource returns a source of the certificate, key and authority files given by the settings.
+func newKeySource(m tlsSettings, log zerolog.Logger) (*keys.Source, error) {
 	files := keys.Files{Certificate: m.GetTlsCertificateFile(), Key: m.GetTlsKeyFile(), Authority: m.GetTlsAuthorityFile()}
 	return keys.New(files, time.Now, func(err error) {
-		log.Error().Err(err).Msg("keysUnreadable")
+		log.Error().Err(err).Msg("cannot read TLS files")
 	})
 }
 
@@ -54,7 +55,7 @@
 	m := &wiregen.EntrySettings{}
 	return &command{
 		name:     "entry",
-		doc:      "Runs an entry, which serves callers.",
+		doc:      "Runs an entry daemon, which serves callers.",
 		settings: m,
 		check:    func() error { return checkRequestBytes(m) },
 		run: func(ctx context.Context, _ io.Writer) error {
@@ -63,7 +64,7 @@
 			if err != nil {
 				return err
 			}
-			source, err := newKeys(m, log)
+			source, err := newKeySource(m, log)
 			if err != nil {
 				return err
 			}
@@ -77,13 +78,13 @@
 	}
 }
 
-// bodiesInRoom is the least number of the largest bodies that the memory for requests must hold, so that each class can
-// have one.
-const bodiesInRoom = 4
+// minBodiesInMemory is the number of bodies of the maximum size that the memory for requests must hold, so that each
+// class can have one.
+const minBodiesInMemory = 4
 
 func checkRequestBytes(m *wiregen.EntrySettings) error {
-	if least := bodiesInRoom * m.GetMaxBodyBytes(); m.GetRequestBytes() < least {
-		reason := fmt.Sprintf("the value is at least %d, four times maxBodyBytes", least)
+	if minimum := minBodiesInMemory * m.GetMaxBodyBytes(); m.GetRequestBytes() < minimum {
+		reason := fmt.Sprintf("must be at least %d, four times maxBodyBytes", minimum)
 		return settings.Faults{{Setting: "requestBytes", Value: fmt.Sprint(m.GetRequestBytes()), Reason: reason}}
 	}
 	return nil
@@ -131,7 +132,7 @@
 	m := &wiregen.ControlSettings{}
 	return &command{
 		name:     "control",
-		doc:      "Runs a control voter, which accepts configuration.",
+		doc:      "Runs a control daemon, a voter of the quorum that accepts configuration changes.",
 		settings: m,
 		run: func(ctx context.Context, _ io.Writer) error {
 			decisions := decision.New(int(m.GetDecisionBytes()))
@@ -139,7 +140,7 @@
 			if err != nil {
 				return err
 			}
-			source, err := newKeys(m, log)
+			source, err := newKeySource(m, log)
 			if err != nil {
 				return err
 			}
--- a/cmd/arbutusreel/doc.go
+++ b/cmd/arbutusreel/doc.go
@@ -1,2 +1,2 @@
-// Command arbutusreel runs the daemons of the gateway and the operators' commands.
+// Command arbutusreel runs the daemons of the gateway and provides the operators' commands.
 package main
--- a/cmd/arbutusreel/errors.go
+++ b/cmd/arbutusreel/errors.go
@@ -6,62 +6,63 @@
 	"arbutusreel/decision"
 )
 
-// RevisionTextError says that the text of an expected revision is no number.
+// RevisionTextError reports an expected revision that is not a whole number.
 type RevisionTextError struct {
 	Text string
 }
 
-// Error names the text.
+// Error returns a message with the invalid text.
 func (e *RevisionTextError) Error() string {
 	return fmt.Sprintf("flag %q: revision %q is not a whole number", "expected", e.Text)
 }
 
-// RevisionError says that the text of a revision is no whole number above zero.
+// RevisionError reports a revision that is not a positive whole number.
 type RevisionError struct {
 	Text string
 }
 
-// Error names the text.
+// Error returns a message with the invalid text.
 func (e *RevisionError) Error() string {
 	return fmt.Sprintf("revision %q is not a whole number above zero", e.Text)
 }
 
-// MembersActionError says that the arguments of the members command do not fit together.
+// MembersActionError reports an invalid combination of arguments of the members command.
 type MembersActionError struct {
 	Action string
 	Member string
 }
 
-// Error names the arguments.
+// Error returns a message with the arguments and the valid forms.
 func (e *MembersActionError) Error() string {
 	return fmt.Sprintf("members %q %q: want list, add name=address, or remove name", e.Action, e.Member)
 }
 
-// EmptyPatchError says that a patch neither puts nor removes anything.
+// EmptyPatchError reports a patch that neither puts nor removes anything.
 type EmptyPatchError struct{}
 
-// Error says what a patch needs.
+// Error returns a message that says what a patch requires.
 func (e *EmptyPatchError) Error() string {
 	return fmt.Sprintf("patch: a file with items, or the flag %q, is needed", "remove")
 }
 
-// RepairActionError says that the arguments of the repair command do not fit together.
+// RepairActionError reports an invalid combination of arguments of the repair command.
 type RepairActionError struct {
 	Action string
 }
 
-// Error names the action.
+// Error returns a message with the action and the valid forms.
 func (e *RepairActionError) Error() string {
 	return fmt.Sprintf("repair %q: want list, or settle with --team, --key, --finding and --operator", e.Action)
 }
 
-// NoDecisionError says that no instance that answered keeps a decision of the subject.
+// NoDecisionError reports that no instance that answered holds a decision about the subject. Silent holds the addresses
+// of the instances that did not answer.
 type NoDecisionError struct {
 	Subject decision.Subject
 	Silent  []string
 }
 
-// Error names the subject and the instances that gave no answer.
+// Error returns a message with the subject and the instances that did not answer.
 func (e *NoDecisionError) Error() string {
 	return fmt.Sprintf("no decision is kept for %s %q; no answer from %q", e.Subject.Kind, e.Subject.Name, e.Silent)
 }
--- a/cmd/arbutusreel/explain.go
+++ b/cmd/arbutusreel/explain.go
@@ -18,12 +18,12 @@
 	var first, second, entries string
 	return &command{
 		name:     "explain",
-		doc:      "Prints why a request or a placement went where it went: explain CORRELATION_ID, or explain placement ENDPOINT.",
+		doc:      "Explains the routing of a request or the placement of an endpoint: explain CORRELATION_ID, or explain placement ENDPOINT.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
 			sub.AddPositionalValue(&first, "subject", 1, true, "Correlation id of a request, or the word placement.")
 			sub.AddPositionalValue(&second, "endpoint", 2, false, "Name of the endpoint, after the word placement.")
-			sub.String(&entries, "", "entries", "Callers' addresses of entries to ask; without it those that the control voters know.")
+			sub.String(&entries, "", "entries", "Caller addresses of the entries to query; by default those known to the control voters.")
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
 			subject := decision.Subject{Kind: decision.Request, Name: first}
@@ -37,28 +37,28 @@
 	}
 }
 
-// explain prints the story of the subject across instances.
+// explain prints the decision log of the subject, merged from all instances.
 func explain(ctx context.Context, c *operator.Client, subject decision.Subject, entries string, stdout io.Writer) error {
 	addresses, err := entryAddresses(ctx, c, entries)
 	if err != nil {
 		return err
 	}
-	story := c.Explain(ctx, subject, addresses)
-	if len(story.Lines) == 0 {
-		return &NoDecisionError{Subject: subject, Silent: story.Silent}
+	explanation := c.Explain(ctx, subject, addresses)
+	if len(explanation.Lines) == 0 {
+		return &NoDecisionError{Subject: subject, Silent: explanation.Silent}
 	}
-	for _, text := range story.Lines {
+	for _, text := range explanation.Lines {
 		fmt.Fprintln(stdout, text)
 	}
-	for _, address := range story.Silent {
-		fmt.Fprintf(stdout, "no answer from %s; the story may lack lines\n", address)
+	for _, address := range explanation.Silent {
+		fmt.Fprintf(stdout, "no answer from %s; decisions may be missing\n", address)
 	}
 	return nil
 }
 
-func entryAddresses(ctx context.Context, c *operator.Client, given string) ([]string, error) {
-	if given != "" {
-		return strings.Split(given, ","), nil
+func entryAddresses(ctx context.Context, c *operator.Client, entries string) ([]string, error) {
+	if entries != "" {
+		return strings.Split(entries, ","), nil
 	}
 	reply, err := c.Entries(ctx)
 	if err != nil {
--- a/cmd/arbutusreel/history.go
+++ b/cmd/arbutusreel/history.go
@@ -18,14 +18,14 @@
 	var revision string
 	return &command{
 		name:     "get",
-		doc:      "Prints the inventory in force and its revision; the apply command takes the edited output.",
+		doc:      "Prints the inventory in force and its revision; the apply command accepts the edited output.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
-			sub.String(&revision, "", "revision", "Earlier revision whose inventory is printed.")
+			sub.String(&revision, "", "revision", "Earlier revision to print.")
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
 			return withClient(ctx, m, func(ctx context.Context, c *operator.Client) error {
-				reply, err := inventoryOf(ctx, c, revision)
+				reply, err := fetchInventory(ctx, c, revision)
 				if err != nil {
 					return err
 				}
@@ -35,8 +35,9 @@
 	}
 }
 
-// inventoryOf returns the inventory of a revision, or without one that in force.
-func inventoryOf(ctx context.Context, c *operator.Client, revision string) (*wiregen.InventoryReply, error) {
+// fetchInventory returns the inventory of a revision, or the one in force if the text is empty; an invalid text returns
+// *RevisionError.
+func fetchInventory(ctx context.Context, c *operator.Client, revision string) (*wiregen.InventoryReply, error) {
 	if revision == "" {
 		return c.Inventory(ctx)
 	}
@@ -47,7 +48,7 @@
 	return c.InventoryAt(ctx, n)
 }
 
-// defaultChanges is the number of changes that the history command prints without another number.
+// defaultChanges is the default number of changes that the history command prints.
 const defaultChanges = 20
 
 func historyCommand() *command {
@@ -55,10 +56,10 @@
 	count := defaultChanges
 	return &command{
 		name:     "history",
-		doc:      "Prints the newest accepted changes: when, by whom, and each value that they changed.",
+		doc:      "Prints the newest accepted changes with their time, operator and changed values.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
-			sub.Int(&count, "", "count", "Number of changes to print.")
+			sub.Int(&count, "", "count", "Maximum number of changes to print.")
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
 			return withClient(ctx, m, func(ctx context.Context, c *operator.Client) error {
@@ -73,42 +74,42 @@
 	}
 }
 
-// maxValueText is the number of bytes of a value that is printed.
-const maxValueText = 200
+// maxValueBytes is the maximum length of a printed value.
+const maxValueBytes = 200
 
 func writeHistory(stdout io.Writer, m *wiregen.HistoryReply) {
 	for _, r := range m.GetRecords() {
 		at := time.UnixMilli(r.GetUnixMillis()).UTC().Format(time.RFC3339)
 		fmt.Fprintf(stdout, "revision %d, %s, operator %q, change %s\n", r.GetRevision(), at, r.GetOperator(), r.GetChangeId())
 		for _, v := range r.GetChanges() {
-			fmt.Fprintf(stdout, "  %s: %q -> %q\n", v.GetPath(), short(v.GetBefore()), short(v.GetAfter()))
+			fmt.Fprintf(stdout, "  %s: %q -> %q\n", v.GetPath(), truncate(v.GetBefore()), truncate(v.GetAfter()))
 		}
 	}
 }
 
-// short returns the beginning of a long text.
-func short(text string) string {
-	if len(text) <= maxValueText {
+// truncate returns the text, cut to maxValueBytes with an ellipsis if it is longer.
+func truncate(text string) string {
+	if len(text) <= maxValueBytes {
 		return text
 	}
-	return text[:maxValueText] + "…"
+	return text[:maxValueBytes] + "…"
 }
 
 func rollbackCommand() *command {
 	m := &wiregen.OperatorSettings{}
-	a := &change{}
+	a := &changeOptions{}
 	var revision string
 	return &command{
 		name:     "rollback",
-		doc:      "Puts the inventory of an earlier revision in force, as a new revision.",
+		doc:      "Restores the inventory of an earlier revision as a new revision.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
-			sub.AddPositionalValue(&revision, "revision", 1, true, "Revision whose inventory is wanted.")
+			sub.AddPositionalValue(&revision, "revision", 1, true, "Revision to restore.")
 			a.bindChange(sub)
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
 			return withClient(ctx, m, func(ctx context.Context, c *operator.Client) error {
-				reply, err := inventoryOf(ctx, c, revision)
+				reply, err := fetchInventory(ctx, c, revision)
 				if err != nil {
 					return err
 				}
--- a/cmd/arbutusreel/main.go
+++ b/cmd/arbutusreel/main.go
@@ -23,14 +23,14 @@
 	exitUsage   = 2
 )
 
-// command is one subcommand: its flags, and what it does with its settings.
+// command is one subcommand with its settings, flags and action.
 type command struct {
 	name     string
 	doc      string
 	settings proto.Message
 	flags    settings.Flags
 	bind     func(sub *flaggy.Subcommand)
-	// check returns settings.Faults if settings that are valid one by one do not fit together; nil checks nothing.
+	// check returns settings.Faults if individually valid settings are inconsistent with each other; it may be nil.
 	check func() error
 	run   func(ctx context.Context, stdout io.Writer) error
 	sub   *flaggy.Subcommand
@@ -43,7 +43,7 @@
 	os.Exit(code)
 }
 
-// run parses the command line, loads the settings and runs the command; it returns the exit code.
+// run parses the command line, loads the settings, runs the command and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	parser := flaggy.NewParser("arbutusreel")
 	parser.Description = "A multi-region inference gateway."
@@ -122,7 +122,7 @@
 	sub *flaggy.Subcommand
 }
 
-// String registers one flag.
+// String registers a string flag.
 func (b binder) String(value *string, short, long, description string) {
 	b.sub.String(value, short, long, description)
 }
--- a/cmd/arbutusreel/members.go
+++ b/cmd/arbutusreel/members.go
@@ -16,10 +16,10 @@
 	var action, member string
 	return &command{
 		name:     "members",
-		doc:      "Prints, adds or removes members of the control quorum.",
+		doc:      "Lists, adds or removes members of the control quorum.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
-			sub.AddPositionalValue(&action, "action", 1, false, "What to do: list, add or remove; without it list.")
+			sub.AddPositionalValue(&action, "action", 1, false, "Action: list, add or remove; list by default.")
 			sub.AddPositionalValue(&member, "member", 2, false, "Member: name=address to add, name to remove.")
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
--- a/cmd/arbutusreel/pages.go
+++ b/cmd/arbutusreel/pages.go
@@ -14,7 +14,7 @@
 func settingsCommand() *command {
 	return &command{
 		name: "settings",
-		doc:  "Prints the page of all settings, in Markdown.",
+		doc:  "Prints the reference of all settings in Markdown.",
 		run:  func(_ context.Context, stdout io.Writer) error { return writeSettings(stdout) },
 	}
 }
--- a/cmd/arbutusreel/patch.go
+++ b/cmd/arbutusreel/patch.go
@@ -13,9 +13,9 @@
 	"arbutusreel/wiregen"
 )
 
-// patchArguments is the arguments of the patch command.
+// patchArguments holds the arguments of the patch command.
 type patchArguments struct {
-	change
+	changeOptions
 	remove string
 }
 
@@ -24,12 +24,12 @@
 	a := &patchArguments{}
 	return &command{
 		name:     "patch",
-		doc:      "Changes parts of the inventory in force and leaves the rest as it is.",
+		doc:      "Changes parts of the inventory in force and leaves the rest unchanged.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
-			sub.AddPositionalValue(&a.file, "file", 1, false, "File with a part of an inventory: items to add or to replace by name, rules to replace.")
-			sub.String(&a.remove, "", "remove", "Items to remove, as in teams[lahore-club],links[lahore-karachi].")
-			sub.String(&a.expected, "", "expected", "Revision that must be in force; without it any.")
+			sub.AddPositionalValue(&a.file, "file", 1, false, "File with a partial inventory: items to add or to replace by name, and rules to replace.")
+			sub.String(&a.remove, "", "remove", "Items to remove, for example teams[lahore-club],links[lahore-karachi].")
+			sub.String(&a.expected, "", "expected", "Revision that must be in force; any by default.")
 			a.bindChange(sub)
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
@@ -43,13 +43,13 @@
 				if err != nil {
 					return err
 				}
-				return a.report(ctx, c, reply, stdout)
+				return a.printAccepted(ctx, c, reply, stdout)
 			})
 		},
 	}
 }
 
-// request returns the patch; the result is checked where it is decided.
+// request returns the patch request. The leader validates the patched inventory.
 func (a *patchArguments) request() (*wiregen.PatchRequest, error) {
 	if a.file == "" && a.remove == "" {
 		return nil, &EmptyPatchError{}
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a.identify()
+	a.ensureChangeID()
 	request := &wiregen.PatchRequest{ChangeId: a.changeID, ExpectedRevision: revision}
 	if a.remove != "" {
 		request.Remove = strings.Split(a.remove, ",")
--- a/cmd/arbutusreel/platform.go
+++ b/cmd/arbutusreel/platform.go
@@ -15,10 +15,10 @@
 	"arbutusreel/platform"
 )
 
-// logTimeout bounds the writing of the last log lines at the end of a process.
+// logTimeout bounds the time to flush the log when the process exits.
 const logTimeout = 200 * time.Millisecond
 
-// platformCommand runs a daemon under the platform's settings file.
+// platformCommand returns a command that runs a daemon with the platform's settings file, which SIGHUP reloads.
 func platformCommand(name, doc string, run func(context.Context, string, <-chan os.Signal, zerolog.Logger) error) *command {
 	return &command{
 		name: name,
@@ -38,7 +38,7 @@
 
 func platformCommands() []*command {
 	return []*command{
-		platformCommand("platform-gateway", "Runs the gateway of an instance of the platform.", platform.Gateway),
-		platformCommand("platform-control", "Runs the control daemon of an instance of the platform.", platform.Control),
+		platformCommand("platform-gateway", "Runs the gateway daemon of a platform instance.", platform.Gateway),
+		platformCommand("platform-control", "Runs the control daemon of a platform instance.", platform.Control),
 	}
 }
--- a/cmd/arbutusreel/repair.go
+++ b/cmd/arbutusreel/repair.go
@@ -12,7 +12,7 @@
 	"arbutusreel/wiregen"
 )
 
-// repairFlags are the arguments of the repair command.
+// repairFlags holds the arguments of the repair command.
 type repairFlags struct {
 	action, team, key, finding, operator string
 	outcomeFile, contentType             string
@@ -20,18 +20,18 @@
 }
 
 func (f *repairFlags) bind(sub *flaggy.Subcommand) {
-	sub.AddPositionalValue(&f.action, "action", 1, true, "Either list or settle.")
+	sub.AddPositionalValue(&f.action, "action", 1, true, "Action: list or settle.")
 	sub.String(&f.team, "", "team", "Team of the call.")
 	sub.String(&f.key, "", "key", "Idempotency key of the call.")
-	sub.String(&f.finding, "", "finding", "What was found out: ran or notRun.")
-	sub.String(&f.operator, "", "operator", "Name of the operator, which is kept with the call.")
-	sub.String(&f.outcomeFile, "", "outcomeFile", "File with the body of the answer of a call that ran, if it is known.")
-	sub.String(&f.contentType, "", "contentType", "Content type of the answer.")
-	sub.Int(&f.status, "", "status", "HTTP status of the answer.")
+	sub.String(&f.finding, "", "finding", "What the investigation found: ran or notRun.")
+	sub.String(&f.operator, "", "operator", "Name of the operator, which is stored with the call.")
+	sub.String(&f.outcomeFile, "", "outcomeFile", "File with the response body of a call that ran, if it is known.")
+	sub.String(&f.contentType, "", "contentType", "Content type of the response.")
+	sub.Int(&f.status, "", "status", "HTTP status of the response.")
 }
 
-// request returns the finding; arguments that do not fit together return *RepairActionError.
-func (f *repairFlags) request() (*wiregen.RepairRequest, error) {
+// settleRequest returns the request that settles a call; missing arguments return *RepairActionError.
+func (f *repairFlags) settleRequest() (*wiregen.RepairRequest, error) {
 	if f.team == "" || f.key == "" || f.finding == "" || f.operator == "" {
 		return nil, &RepairActionError{Action: f.action}
 	}
@@ -47,13 +47,13 @@
 	return m, nil
 }
 
-// repairCommand lists and settles the calls of a region that may have run.
+// repairCommand returns the command that lists and settles calls with an unknown outcome.
 func repairCommand() *command {
 	m := &wiregen.RepairSettings{}
 	f := &repairFlags{status: 200}
 	return &command{
 		name:     "repair",
-		doc:      "Lists the calls of a region that may have run, or settles one: repair list, or repair settle.",
+		doc:      "Lists the calls of a region whose outcome is unknown, or settles one: repair list, or repair settle.",
 		settings: m,
 		bind:     f.bind,
 		run: func(ctx context.Context, stdout io.Writer) error {
@@ -71,19 +71,19 @@
 }
 
 func (f *repairFlags) run(ctx context.Context, c *operator.Client, stdout io.Writer) error {
-	reply, err := f.ask(ctx, c)
+	reply, err := f.send(ctx, c)
 	if err != nil {
 		return err
 	}
 	return printReply(stdout, reply)
 }
 
-func (f *repairFlags) ask(ctx context.Context, c *operator.Client) (proto.Message, error) {
+func (f *repairFlags) send(ctx context.Context, c *operator.Client) (proto.Message, error) {
 	switch f.action {
 	case "list":
 		return c.Doubtful(ctx)
 	case "settle":
-		m, err := f.request()
+		m, err := f.settleRequest()
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/arbutusreel/status.go
+++ b/cmd/arbutusreel/status.go
@@ -18,10 +18,10 @@
 	var table bool
 	return &command{
 		name:     "status",
-		doc:      "Prints the leader and the revision in force at each instance.",
+		doc:      "Prints the leader, the quorum members and the revision in force at each instance.",
 		settings: m,
 		bind: func(sub *flaggy.Subcommand) {
-			sub.Bool(&table, "", "table", "Prints a table in place of JSON.")
+			sub.Bool(&table, "", "table", "Prints tables instead of JSON.")
 		},
 		run: func(ctx context.Context, stdout io.Writer) error {
 			return withClient(ctx, m, func(ctx context.Context, c *operator.Client) error {
@@ -38,16 +38,16 @@
 	}
 }
 
-// Columns of tables are separated by columnGap spaces at least.
+// columnGap is the minimum number of spaces between table columns.
 const columnGap = 2
 
-// writeStatus writes the quorum and the instances as two tables.
+// writeStatus writes a table of the quorum members and one of the instances.
 func writeStatus(stdout io.Writer, m *wiregen.StatusReply) error {
 	source := "current"
 	if !m.GetCurrent() {
-		source = "may be behind"
+		source = "may be stale"
 	}
-	fmt.Fprintf(stdout, "revision %d, leader %q, term %d, told by %q (%s)\n\n", m.GetRevision(), m.GetLeader(), m.GetTerm(), m.GetName(), source)
+	fmt.Fprintf(stdout, "revision %d, leader %q, term %d, reported by %q (%s)\n\n", m.GetRevision(), m.GetLeader(), m.GetTerm(), m.GetName(), source)
 	w := tabwriter.NewWriter(stdout, 0, 0, columnGap, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tADDRESS\tDISK\tVOTER")
 	for _, member := range m.GetMembers() {
@@ -64,7 +64,7 @@
 	return w.Flush()
 }
 
-// lag returns for how long a higher revision than the instance's has been accepted.
+// lag returns the time since a revision newer than the instance's was accepted, or "no" if there is none.
 func lag(i *wiregen.InstanceStatus) string {
 	if i.GetLagMillis() == 0 {
 		return "no"
--- a/cmd/soak/doc.go
+++ b/cmd/soak/doc.go
@@ -1,2 +1,2 @@
-// Command soak runs the platform's programs under seeded faults and checks what callers and endpoints see.
+// Command soak runs the platform's programs under seeded faults and checks what callers and endpoints observe.
 package main
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -13,11 +13,11 @@
 	"arbutusreel/platform/soak"
 )
 
-// recovery is how long service may be away after the last fault: the platform's bound.
-const recovery = 12 * time.Second
+// recoveryTimeout is the platform's bound on the recovery of service after the last fault.
+const recoveryTimeout = 12 * time.Second
 
-// most is the greatest number of seeds in one call: each has loopback addresses of its own.
-const most = 200
+// maxSeeds bounds the seeds of one run, since each seed uses a loopback subnet of its own.
+const maxSeeds = 200
 
 func main() {
 	program, dir := "bin/arbutusreel", ""
@@ -25,51 +25,51 @@
 	seconds := 15.0
 	flaggy.SetName("soak")
 	flaggy.SetDescription("Runs the platform's programs under seeded faults.")
-	flaggy.String(&program, "", "program", "Path of arbutusreel.")
-	flaggy.String(&dir, "", "dir", "Folder for data and logs; empty makes one.")
+	flaggy.String(&program, "", "program", "Path of the arbutusreel binary.")
+	flaggy.String(&dir, "", "dir", "Folder for data and logs; by default a new temporary folder.")
 	flaggy.Int(&first, "", "seed", "First seed.")
 	flaggy.Int(&count, "", "count", "Number of seeds.")
-	flaggy.Float64(&seconds, "", "seconds", "Time of faults for each seed, in seconds.")
+	flaggy.Float64(&seconds, "", "seconds", "Time of fault injection for each seed, in seconds.")
 	var sizes soak.Options
-	flaggy.Int(&sizes.Controls, "", "controls", "Number of control daemons, at least three; zero is the usual number.")
-	flaggy.Int(&sizes.Gateways, "", "gateways", "Number of gateways; zero is the usual number.")
-	flaggy.Int(&sizes.Endpoints, "", "endpoints", "Number of endpoints; zero is the usual number.")
-	flaggy.Int(&sizes.Callers, "", "callers", "Number of callers; zero is the usual number.")
+	flaggy.Int(&sizes.Controls, "", "controls", "Number of control daemons, at least three; zero selects the default.")
+	flaggy.Int(&sizes.Gateways, "", "gateways", "Number of gateways; zero selects the default.")
+	flaggy.Int(&sizes.Endpoints, "", "endpoints", "Number of endpoints; zero selects the default.")
+	flaggy.Int(&sizes.Callers, "", "callers", "Number of callers; zero selects the default.")
 	flaggy.Parse()
 	if dir == "" {
-		made, err := os.MkdirTemp("", "soak")
+		tempDir, err := os.MkdirTemp("", "soak")
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		dir = made
+		dir = tempDir
 	}
 	broken := 0
-	for i := range min(count, most) {
+	for i := range min(count, maxSeeds) {
 		seed := first + i
 		o := soak.Options{
-			Program: program, Dir: filepath.Join(dir, fmt.Sprint(seed)), Seed: uint64(seed), First: 1 + seed%most, Recovery: recovery,
+			Program: program, Dir: filepath.Join(dir, fmt.Sprint(seed)), Seed: uint64(seed), First: 1 + seed%maxSeeds, Recovery: recoveryTimeout,
 			Faults: time.Duration(seconds * float64(time.Second)), Controls: sizes.Controls, Gateways: sizes.Gateways,
 			Endpoints: sizes.Endpoints, Callers: sizes.Callers,
 		}
-		judge, err := soak.Run(context.Background(), o)
+		checker, err := soak.Run(context.Background(), o)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		counts, faults := judge.Result()
-		report(seed, counts, faults, o.Dir)
-		if len(faults) > 0 {
+		counts, violations := checker.Result()
+		report(seed, counts, violations, o.Dir)
+		if len(violations) > 0 {
 			broken++
 		}
 	}
-	fmt.Printf("%d seeds, %d broken\n", min(count, most), broken)
+	fmt.Printf("%d seeds, %d broken\n", min(count, maxSeeds), broken)
 	if broken > 0 {
 		os.Exit(1)
 	}
 }
 
-func report(seed int, counts map[string]int, faults []string, dir string) {
+func report(seed int, counts map[string]int, violations []string, dir string) {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
@@ -80,7 +80,7 @@
 		fmt.Printf(" %s=%d", name, counts[name])
 	}
 	fmt.Println()
-	for _, fault := range faults[:min(len(faults), 10)] {
-		fmt.Printf("  BROKEN %s (logs in %s)\n", fault, dir)
+	for _, violation := range violations[:min(len(violations), 10)] {
+		fmt.Printf("  BROKEN %s (logs in %s)\n", violation, dir)
 	}
 }
--- a/cmd/standin/doc.go
+++ b/cmd/standin/doc.go
@@ -1,2 +1,2 @@
-// Command standin runs emulated model engines, plain services and a directory, and sends load to the gateway.
+// Command standin runs emulated model engines, plain services and a directory, and generates load for the gateway.
 package main
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -15,13 +15,13 @@
 	"arbutusreel/standin"
 )
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout bounds the time to read the header of a request.
 const headerTimeout = 10 * time.Second
 
-// exitDied is the exit code of an engine that was told to die.
-const exitDied = 3
+// exitInjectedDeath is the exit code after the injected fault of the dieAfterTokens flag.
+const exitInjectedDeath = 3
 
-// options are the flags of all subcommands.
+// options holds the flags of all subcommands.
 type options struct {
 	name, address, region, failureDomain, service, directory string
 	models                                                   []string
@@ -47,12 +47,12 @@
 	o.engine = standin.EngineConfig{TokenTime: 10 * time.Millisecond, PrefillTime: 200 * time.Microsecond, CacheBlocks: 4096, KVBytesPerSecond: 1e9, Seed: 1}
 	o.load = newLoadOptions()
 	parser := flaggy.NewParser("standin")
-	engine := o.subcommand("engine", "Runs a model engine.", o.engineFlags)
-	service := o.subcommand("service", "Runs an endpoint of a plain service.", o.endpointFlags)
+	engine := o.subcommand("engine", "Runs an emulated model engine.", o.engineFlags)
+	service := o.subcommand("service", "Runs an emulated endpoint of a plain service.", o.endpointFlags)
 	dir := o.subcommand("directory", "Runs a directory.", o.endpointFlags)
-	generator := o.subcommand("load", "Sends load and prints a table.", o.load.flags)
-	experiment := o.subcommand("experiment", "Sends the load of a file to several targets and compares them.", o.load.experimentFlags)
-	summary := o.subcommand("summary", "Compares the targets of several results of an experiment.", o.load.summaryFlags)
+	generator := o.subcommand("load", "Generates load and prints a table of results.", o.load.flags)
+	experiment := o.subcommand("experiment", "Sends the load of an experiment file to several targets and compares them.", o.load.experimentFlags)
+	summary := o.subcommand("summary", "Compares targets over several result files of an experiment.", o.load.summaryFlags)
 	for _, sub := range []*flaggy.Subcommand{engine, service, dir, generator, experiment, summary} {
 		parser.AttachSubcommand(sub, 1)
 	}
@@ -86,39 +86,39 @@
 
 func (o *options) endpointFlags(sub *flaggy.Subcommand) {
 	sub.String(&o.name, "", "name", "Name of the endpoint.")
-	sub.String(&o.address, "", "address", "Address to serve.")
+	sub.String(&o.address, "", "address", "Address to listen on.")
 	sub.String(&o.region, "", "region", "Region of the endpoint.")
 	sub.String(&o.failureDomain, "", "failureDomain", "Failure domain of the endpoint.")
 	sub.String(&o.service, "", "service", "Service of the endpoint.")
 	sub.String(&o.directory, "", "directory", "Address of the directory.")
-	sub.StringSlice(&o.models, "", "models", "Names that are loaded: MODEL, MODEL@VERSION or MODEL:ADAPTER.")
-	sub.Int(&o.slots, "", "slots", "Requests that run at once.")
-	sub.Duration(&o.leaveNotice, "", "leaveNotice", "Time between the first announcement as leaving and the stop.")
+	sub.StringSlice(&o.models, "", "models", "Models and adapters to load: MODEL, MODEL@VERSION or MODEL:ADAPTER.")
+	sub.Int(&o.slots, "", "slots", "Maximum number of concurrent requests.")
+	sub.Duration(&o.leaveNotice, "", "leaveNotice", "Time between the first announcement of leaving and the stop.")
 }
 
 func (o *options) engineFlags(sub *flaggy.Subcommand) {
 	o.endpointFlags(sub)
 	e := &o.engine
-	sub.Int(&e.CacheTokens, "", "cacheTokens", "KV tokens that running requests share; 0 is unbounded.")
-	sub.Float64(&e.PricePerHour, "", "pricePerHour", "Price of the engine.")
-	sub.Duration(&e.TokenTime, "", "tokenTime", "Time between two tokens.")
-	sub.Float64(&e.BatchSlowdown, "", "batchSlowdown", "Share by which the token time grows when all slots run.")
-	sub.Duration(&e.PrefillTime, "", "prefillTime", "Time of a token of the prompt that is not cached.")
-	sub.Int(&e.CacheBlocks, "", "cacheBlocks", "Prefix blocks that the cache holds.")
-	sub.Duration(&e.CacheEventDelay, "", "cacheEventDelay", "Age at which a cache event is announced.")
+	sub.Int(&e.CacheTokens, "", "cacheTokens", "KV cache capacity in tokens, shared by running requests; 0 is unbounded.")
+	sub.Float64(&e.PricePerHour, "", "pricePerHour", "Price of the engine per hour.")
+	sub.Duration(&e.TokenTime, "", "tokenTime", "Decode time per token.")
+	sub.Float64(&e.BatchSlowdown, "", "batchSlowdown", "Relative increase of the token time when all slots are in use.")
+	sub.Duration(&e.PrefillTime, "", "prefillTime", "Prefill time per uncached prompt token.")
+	sub.Int(&e.CacheBlocks, "", "cacheBlocks", "Capacity of the prefix cache in blocks.")
+	sub.Duration(&e.CacheEventDelay, "", "cacheEventDelay", "Delay between a cache event and its announcement.")
 	sub.Float64(&e.CacheEventGap, "", "cacheEventGap", "Share of announcements whose cache events are lost.")
-	sub.Duration(&e.ReportLag, "", "reportLag", "Age of the load in an announcement.")
-	sub.Float64(&e.KVBytesPerSecond, "", "kvBytesPerSecond", "Rate of KV cache transfers.")
-	sub.Bool(&e.ChecksFencing, "", "checksFencing", "Whether orders with old fencing numbers are refused.")
-	sub.Duration(&e.LoadTime, "", "loadTime", "Time in which the weight store serves a model.")
-	sub.Duration(&e.AdapterLoadTime, "", "adapterLoadTime", "Time in which the weight store serves an adapter.")
-	sub.UInt64(&e.Seed, "", "seed", "Seed of the engine.")
-	sub.Int(&e.Faults.DieAfterTokens, "", "dieAfterTokens", "Tokens after which the process ends at once; 0 never.")
-	sub.Int(&e.Faults.StallAfterTokens, "", "stallAfterTokens", "Tokens after which a stream sends nothing more; 0 never.")
-	sub.Float64(&e.Faults.RefuseShare, "", "refuseShare", "Share of requests that fail at once.")
+	sub.Duration(&e.ReportLag, "", "reportLag", "Age of the load report in an announcement.")
+	sub.Float64(&e.KVBytesPerSecond, "", "kvBytesPerSecond", "Bandwidth of KV cache transfers in bytes per second.")
+	sub.Bool(&e.ChecksFencing, "", "checksFencing", "Refuses orders with stale fencing tokens.")
+	sub.Duration(&e.LoadTime, "", "loadTime", "Time to load a model from the weight store.")
+	sub.Duration(&e.AdapterLoadTime, "", "adapterLoadTime", "Time to load an adapter from the weight store.")
+	sub.UInt64(&e.Seed, "", "seed", "Random seed of the engine.")
+	sub.Int(&e.Faults.DieAfterTokens, "", "dieAfterTokens", "Number of tokens after which the process exits immediately; 0 disables the fault.")
+	sub.Int(&e.Faults.StallAfterTokens, "", "stallAfterTokens", "Number of tokens after which a stream stalls; 0 disables the fault.")
+	sub.Float64(&e.Faults.RefuseShare, "", "refuseShare", "Share of requests that fail immediately.")
 }
 
-// serve serves until ctx ends and announce has returned, and then waits for the requests in progress.
+// serve serves HTTP until announce returns, which it does after ctx ends, and then waits for requests in progress.
 func serve(ctx context.Context, address string, handler http.Handler, announce func(context.Context)) error {
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
@@ -148,7 +148,7 @@
 	cfg.Slots = o.slots
 	cfg.LeaveNotice = o.leaveNotice
 	cfg.Incarnation = time.Now().UnixNano()
-	cfg.Faults.Die = func() { os.Exit(exitDied) }
+	cfg.Faults.Die = func() { os.Exit(exitInjectedDeath) }
 	e := standin.NewEngine(cfg, directory.New(o.directory, http.DefaultClient))
 	return serve(ctx, o.address, e.Handler(), e.Run)
 }
