--- a/systemtest/calls_test.go
+++ b/systemtest/calls_test.go
@@ -11,92 +11,92 @@
 	"time"
 )
 
-// desk is a system with a plain service in lahore, whose orders have a short patience.
-type desk struct {
+// serviceSystem is a system with a plain service in lahore. Orders have a patience of 3 s instead of 30 s.
+type serviceSystem struct {
 	*system
 	service *instance
 }
 
-func newDesk(t *testing.T, o options) *desk {
+func newServiceSystem(t *testing.T, o options) *serviceSystem {
 	t.Helper()
 	t.Parallel()
-	b, err := os.ReadFile(lunchClub)
+	b, err := os.ReadFile(lunchClubInventory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.inventory = filepath.Join(t.TempDir(), "inventory.json")
-	patient := strings.Replace(string(b), `"patienceMillis": 30000`, `"patienceMillis": 3000`, 1)
-	if err := os.WriteFile(o.inventory, []byte(patient), 0o600); err != nil {
+	edited := strings.Replace(string(b), `"patienceMillis": 30000`, `"patienceMillis": 3000`, 1)
+	if err := os.WriteFile(o.inventory, []byte(edited), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if o.regions == nil {
 		o.regions = []string{"lahore"}
 	}
 	o.entriesPerRegion = 3
-	d := &desk{system: newSystem(t, o)}
+	d := &serviceSystem{system: newSystem(t, o)}
 	d.service = d.system.service("desk-lahore", "lahore", "club-desk", "--slots", "8")
 	for i := range 3 {
 		key := "ready-" + strconv.Itoa(i)
-		d.until("entry "+strconv.Itoa(i)+" knows the service", func() bool { return d.order(i, key, key).status == http.StatusOK })
+		d.until("entry "+strconv.Itoa(i)+" knows the service", func() bool { return d.sendOrder(i, key, key).status == http.StatusOK })
 	}
 	return d
 }
 
-// order sends an order through an entry of lahore.
-func (d *desk) order(entry int, key, body string) answer {
+// sendOrder sends an order through an entry of lahore.
+func (d *serviceSystem) sendOrder(entry int, key, body string) response {
 	return d.do(http.MethodPost, d.entries[entry].caller, orderPath, lahoreToken, body, "Idempotency-Key", key, "Arbutusreel-Class", "order")
 }
 
-// later sends an order without waiting for its answer.
-func (d *desk) later(entry int, key, body string) <-chan answer {
-	answers := make(chan answer, 1)
-	go func() { answers <- d.order(entry, key, body) }()
+// sendOrderAsync sends an order without waiting for its answer.
+func (d *serviceSystem) sendOrderAsync(entry int, key, body string) <-chan response {
+	answers := make(chan response, 1)
+	go func() { answers <- d.sendOrder(entry, key, body) }()
 	return answers
 }
 
-// settled sends an order again until it is no longer in progress.
-func (d *desk) settled(entry int, key, body string) answer {
+// waitSettled resends an order until it is no longer in progress and the ledger is available.
+func (d *serviceSystem) waitSettled(entry int, key, body string) response {
 	d.t.Helper()
-	var a answer
+	var a response
 	d.until("order "+key+" is no longer in progress", func() bool {
-		a = d.order(entry, key, body)
+		a = d.sendOrder(entry, key, body)
 		code, _ := a.problemCode()
 		return a.status != 0 && code != "callInProgress" && code != "ledgerUnavailable"
 	})
 	return a
 }
 
-// ran returns how often the service ran a body.
-func (d *desk) ran(body string) int {
+// runCount returns the number of times that the service ran a body.
+func (d *serviceSystem) runCount(body string) int {
 	counts := map[string]int{}
 	_ = json.Unmarshal([]byte(d.do(http.MethodGet, d.service.caller, "/ran", "", "").body), &counts)
 	return counts[body]
 }
 
-func (d *desk) untilRan(body string) {
+func (d *serviceSystem) waitRan(body string) {
 	d.t.Helper()
-	d.until("the service has run "+body, func() bool { return d.ran(body) == 1 })
+	d.until("the service has run "+body, func() bool { return d.runCount(body) == 1 })
 }
 
-// expect checks the code and the outcome of an answer.
-func (d *desk) expect(what string, a answer, code, outcome string) {
+// checkProblem checks the code and the outcome of a response.
+func (d *serviceSystem) checkProblem(what string, a response, code, outcome string) {
 	d.t.Helper()
 	if gotCode, gotOutcome := a.problemCode(); gotCode != code || gotOutcome != outcome {
 		d.t.Errorf("%s: status %d, code %q, outcome %q; want %q, %q", what, a.status, gotCode, gotOutcome, code, outcome)
 	}
 }
 
-// expectOnce checks that a body ran once at most and that the answer does not say the contrary.
-func (d *desk) expectOnce(what, body string, a answer) {
+// checkAtMostOnce checks that a body ran at most once and that the response does not report notRun if it ran.
+func (d *serviceSystem) checkAtMostOnce(what, body string, a response) {
 	d.t.Helper()
-	count := d.ran(body)
+	count := d.runCount(body)
 	if _, outcome := a.problemCode(); count > 1 || (count == 1 && outcome == "notRun") {
 		d.t.Errorf("%s: the body ran %d times and the answer is %d %q", what, count, a.status, a.body)
 	}
 }
 
-// repair runs a repair command through an entry of lahore.
-func (d *desk) repair(entry int, args ...string) string {
+// repair runs the repair command through an entry of lahore.
+func (d *serviceSystem) repair(entry int, args ...string) string {
 	d.t.Helper()
 	out, err := d.command(append([]string{"repair"}, append(args, "--entries", d.entries[entry].caller)...)...)
 	if err != nil {
@@ -105,17 +105,17 @@
 	return out
 }
 
-// lose kills an entry, removes its data folder and starts it again.
-func (d *desk) lose(entries ...int) {
+// loseData kills entries, removes their data folders and restarts them.
+func (d *serviceSystem) loseData(entries ...int) {
 	for _, i := range entries {
 		d.entries[i].kill()
 		_ = os.RemoveAll(filepath.Join(d.dir, d.entries[i].name))
 	}
-	d.startAgain(entries...)
+	d.restart(entries...)
 }
 
-// startAgain starts entries that were killed and waits until they are ready.
-func (d *desk) startAgain(entries ...int) {
+// restart starts entries that have ended and waits until they are ready.
+func (d *serviceSystem) restart(entries ...int) {
 	for _, i := range entries {
 		d.entries[i].start()
 	}
@@ -125,16 +125,16 @@
 }
 
 func TestCallResent(t *testing.T) {
-	d := newDesk(t, options{})
-	first := d.order(0, "k1", "lentils")
+	d := newServiceSystem(t, options{})
+	first := d.sendOrder(0, "k1", "lentils")
 	for i := range 3 {
-		if a := d.order(i, "k1", "lentils"); a.body != first.body || a.status != http.StatusOK {
+		if a := d.sendOrder(i, "k1", "lentils"); a.body != first.body || a.status != http.StatusOK {
 			t.Errorf("entry %d answered %d %q, first %q", i, a.status, a.body, first.body)
 		}
 	}
-	d.expect("another body under the same key", d.order(1, "k1", "rice"), "idempotencyKeyReused", "notRun")
-	slow := d.later(0, "k2", "delay=1s")
-	var a answer
+	d.checkProblem("another body under the same key", d.sendOrder(1, "k1", "rice"), "idempotencyKeyReused", "notRun")
+	slow := d.sendOrderAsync(0, "k2", "delay=1s")
+	var a response
 	d.until("the slow order is in progress", func() bool {
 		a = d.do(http.MethodPost, d.entries[1].caller, orderPath, lahoreToken, "delay=1s", "Idempotency-Key", "k2", "Arbutusreel-Epoch", "none.1")
 		code, _ := a.problemCode()
@@ -147,15 +147,15 @@
 		t.Errorf("the slow order was answered %d %q", a.status, a.body)
 	}
 	a = d.do(http.MethodPost, d.entries[0].caller, orderPath, lahoreToken, "salt", "Idempotency-Key", "k3", "Arbutusreel-Epoch", "")
-	d.expectOnce("without an epoch", "salt", a)
-	d.expect("a key of another epoch", d.do(http.MethodPost, d.entries[0].caller, orderPath, lahoreToken, "salt", "Idempotency-Key", "k4", "Arbutusreel-Epoch", "other.1"), "callOutcomeUnknown", "outcomeUnknown")
-	if n := d.ran("lentils"); n != 1 {
+	d.checkAtMostOnce("without an epoch", "salt", a)
+	d.checkProblem("a key of another epoch", d.do(http.MethodPost, d.entries[0].caller, orderPath, lahoreToken, "salt", "Idempotency-Key", "k4", "Arbutusreel-Epoch", "other.1"), "callOutcomeUnknown", "outcomeUnknown")
+	if n := d.runCount("lentils"); n != 1 {
 		t.Errorf("the order ran %d times", n)
 	}
 }
 
 func TestCallCallerLeaves(t *testing.T) {
-	d := newDesk(t, options{})
+	d := newServiceSystem(t, options{})
 	body := "delay=800ms leaves"
 	epoch := d.epoch(d.entries[0].caller, lahoreToken, "k1")
 	req, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+d.entries[0].caller+orderPath, strings.NewReader(body))
@@ -165,89 +165,89 @@
 	client := &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Do(req); err == nil {
 		_ = resp.Body.Close()
-		t.Fatal("the caller was answered before it left")
+		t.Fatal("the caller was answered before its timeout")
 	}
-	if a := d.settled(1, "k1", body); a.status != http.StatusOK {
+	if a := d.waitSettled(1, "k1", body); a.status != http.StatusOK {
 		t.Errorf("the resent order was answered %d %q", a.status, a.body)
 	}
-	if n := d.ran(body); n != 1 {
+	if n := d.runCount(body); n != 1 {
 		t.Errorf("the order ran %d times", n)
 	}
 }
 
 func TestCallEntryKilled(t *testing.T) {
-	d := newDesk(t, options{dataFolders: true})
+	d := newServiceSystem(t, options{dataFolders: true})
 	steps := []struct{ name, body string }{
 		{"beforeRun", "delay=1s beforeRun"},
 		{"afterRun", "late=2s afterRun"},
 	}
 	for _, step := range steps {
-		d.later(0, step.name, step.body)
+		d.sendOrderAsync(0, step.name, step.body)
 		if step.name == "afterRun" {
-			d.untilRan(step.body)
+			d.waitRan(step.body)
 		} else {
 			time.Sleep(200 * time.Millisecond)
 		}
 		d.entries[0].kill()
-		d.expectOnce(step.name+", at once", step.body, d.order(1, step.name, step.body))
+		d.checkAtMostOnce(step.name+", at once", step.body, d.sendOrder(1, step.name, step.body))
 		d.entries[0].start()
-		a := d.settled(1, step.name, step.body)
-		d.expect(step.name, a, "callOutcomeUnknown", "outcomeUnknown")
-		d.expectOnce(step.name, step.body, a)
-		d.until("the doubtful call is listed", func() bool { return strings.Contains(d.repair(2, "list"), `"`+step.name+`"`) })
+		a := d.waitSettled(1, step.name, step.body)
+		d.checkProblem(step.name, a, "callOutcomeUnknown", "outcomeUnknown")
+		d.checkAtMostOnce(step.name, step.body, a)
+		d.until("the call in doubt is listed", func() bool { return strings.Contains(d.repair(2, "list"), `"`+step.name+`"`) })
 	}
 	d.until("entry 0 is ready", func() bool { return d.get(d.entries[0].caller, "/readyz", "") == http.StatusOK })
 	d.repair(0, "settle", "--team", "lahore-club", "--key", "afterRun", "--finding", "ran", "--operator", "test")
 	d.repair(0, "settle", "--team", "lahore-club", "--key", "beforeRun", "--finding", "notRun", "--operator", "test")
-	d.expect("settled as run", d.order(2, "afterRun", "late=2s afterRun"), "callSettled", "ran")
-	d.expect("settled as not run", d.order(2, "beforeRun", "delay=1s beforeRun"), "callSettled", "notRun")
+	d.checkProblem("settled as run", d.sendOrder(2, "afterRun", "late=2s afterRun"), "callSettled", "ran")
+	d.checkProblem("settled as not run", d.sendOrder(2, "beforeRun", "delay=1s beforeRun"), "callSettled", "notRun")
 	if again := d.repair(1, "settle", "--team", "lahore-club", "--key", "afterRun", "--finding", "notRun", "--operator", "other"); strings.Contains(again, `"settled": true`) {
 		t.Errorf("a settled call was settled again: %s", again)
 	}
 }
 
 func TestCallEndpointFails(t *testing.T) {
-	d := newDesk(t, options{})
+	d := newServiceSystem(t, options{})
 	for _, body := range []string{"close", "closeUnrun", "exit"} {
-		d.expect(body, d.order(0, body, body), "callOutcomeUnknown", "outcomeUnknown")
-		again := d.order(1, body, body)
+		d.checkProblem(body, d.sendOrder(0, body, body), "callOutcomeUnknown", "outcomeUnknown")
+		again := d.sendOrder(1, body, body)
 		if _, outcome := again.problemCode(); outcome != "outcomeUnknown" {
 			t.Errorf("%s, resent at once: the answer is %d %q", body, again.status, again.body)
 		}
-		a := d.settled(1, body, body)
-		d.expect(body+", settled", a, "callOutcomeUnknown", "outcomeUnknown")
-		d.expectOnce(body, body, a)
+		a := d.waitSettled(1, body, body)
+		d.checkProblem(body+", settled", a, "callOutcomeUnknown", "outcomeUnknown")
+		d.checkAtMostOnce(body, body, a)
 	}
-	a := d.order(0, "late", "late order")
+	a := d.sendOrder(0, "late", "late order")
 	if _, outcome := a.problemCode(); outcome != "notRun" {
-		t.Errorf("nobody listens: the answer is %d %q", a.status, a.body)
+		t.Errorf("no endpoint listens: the answer is %d %q", a.status, a.body)
 	}
 	<-d.service.done
 	d.service.start()
-	d.until("the order is answered", func() bool { return d.order(1, "late", "late order").status == http.StatusOK })
-	d.order(2, "exit", "exit")
-	if n := d.ran("exit"); n != 0 {
+	d.until("the order is answered", func() bool { return d.sendOrder(1, "late", "late order").status == http.StatusOK })
+	d.sendOrder(2, "exit", "exit")
+	if n := d.runCount("exit"); n != 0 {
 		t.Errorf("a call in doubt ran again, %d times", n)
 	}
-	if n := d.ran("late order"); n != 1 {
+	if n := d.runCount("late order"); n != 1 {
 		t.Errorf("the withdrawn order ran %d times", n)
 	}
 }
 
 func TestCallFrozenEntry(t *testing.T) {
-	d := newDesk(t, options{})
+	d := newServiceSystem(t, options{})
 	body := "late=1s frozen"
-	answered := d.later(0, "k1", body)
-	d.untilRan(body)
+	answered := d.sendOrderAsync(0, "k1", body)
+	d.waitRan(body)
 	d.entries[0].freeze()
-	d.expect("after its lease", d.settled(1, "k1", body), "callOutcomeUnknown", "outcomeUnknown")
+	d.checkProblem("after its lease", d.waitSettled(1, "k1", body), "callOutcomeUnknown", "outcomeUnknown")
 	d.repair(2, "settle", "--team", "lahore-club", "--key", "k1", "--finding", "ran", "--operator", "test")
 	d.entries[0].thaw()
 	<-answered
 	for i := range 3 {
-		d.expect("after the thaw", d.settled(i, "k1", body), "callSettled", "ran")
+		d.checkProblem("after the thaw", d.waitSettled(i, "k1", body), "callSettled", "ran")
 	}
-	if n := d.ran(body); n != 1 {
+	if n := d.runCount(body); n != 1 {
 		t.Errorf("the order ran %d times", n)
 	}
 }
@@ -255,27 +255,27 @@
 func TestCallMemoryLost(t *testing.T) {
 	for name, disks := range map[string]bool{"disks": true, "memory": false} {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk(t, options{dataFolders: disks})
-			first := d.order(0, "k1", "lentils")
+			d := newServiceSystem(t, options{dataFolders: disks})
+			first := d.sendOrder(0, "k1", "lentils")
 			check := func(what string) {
 				t.Helper()
 				for i := range 3 {
-					if a := d.settled(i, "k1", "lentils"); a.body != first.body || a.status != http.StatusOK {
+					if a := d.waitSettled(i, "k1", "lentils"); a.body != first.body || a.status != http.StatusOK {
 						t.Errorf("%s: entry %d answered %d %q, first %q", what, i, a.status, a.body, first.body)
 					}
 				}
 			}
-			d.lose(0)
+			d.loseData(0)
 			check("one lost")
-			d.lose(1)
+			d.loseData(1)
 			check("a second lost after the repair")
-			d.lose(2, 0)
+			d.loseData(2, 0)
 			check("two lost at once")
-			d.lose(0, 1, 2)
-			a := d.settled(0, "k1", "lentils")
-			d.expect("all lost", a, "callOutcomeUnknown", "outcomeUnknown")
-			d.until("a new key is answered", func() bool { return d.order(0, "k2", "rice").status == http.StatusOK })
-			if n := d.ran("lentils"); n != 1 {
+			d.loseData(0, 1, 2)
+			a := d.waitSettled(0, "k1", "lentils")
+			d.checkProblem("all lost", a, "callOutcomeUnknown", "outcomeUnknown")
+			d.until("a new key is answered", func() bool { return d.sendOrder(0, "k2", "rice").status == http.StatusOK })
+			if n := d.runCount("lentils"); n != 1 {
 				t.Errorf("the order ran %d times", n)
 			}
 		})
@@ -283,36 +283,36 @@
 }
 
 func TestCallDiskKept(t *testing.T) {
-	d := newDesk(t, options{dataFolders: true})
-	first := d.order(0, "k1", "lentils")
+	d := newServiceSystem(t, options{dataFolders: true})
+	first := d.sendOrder(0, "k1", "lentils")
 	for _, e := range d.entries {
 		e.kill()
 	}
-	d.startAgain(0, 1, 2)
-	if a := d.settled(1, "k1", "lentils"); a.body != first.body {
+	d.restart(0, 1, 2)
+	if a := d.waitSettled(1, "k1", "lentils"); a.body != first.body {
 		t.Errorf("after a restart of all, the order was answered %d %q, first %q", a.status, a.body, first.body)
 	}
 }
 
 func TestCallIsolatedRegion(t *testing.T) {
-	d := newDesk(t, options{regions: []string{"lahore", "karachi"}})
-	away := d.do(http.MethodPost, d.entries[3].caller, orderPath, lahoreToken, "from away", "Idempotency-Key", "k1")
-	if away.status != http.StatusOK {
-		t.Errorf("an order through another region was answered %d %q", away.status, away.body)
+	d := newServiceSystem(t, options{regions: []string{"lahore", "karachi"}})
+	remote := d.do(http.MethodPost, d.entries[3].caller, orderPath, lahoreToken, "from away", "Idempotency-Key", "k1")
+	if remote.status != http.StatusOK {
+		t.Errorf("an order through another region was answered %d %q", remote.status, remote.body)
 	}
-	for _, p := range d.all {
+	for _, p := range d.processes {
 		if strings.HasPrefix(p.name, "control") || strings.Contains(p.name, "karachi") {
 			p.freeze()
 		}
 	}
-	if a := d.order(0, "k2", "isolated"); a.status != http.StatusOK {
+	if a := d.sendOrder(0, "k2", "isolated"); a.status != http.StatusOK {
 		t.Errorf("an isolated region answered an order with %d %q", a.status, a.body)
 	}
-	if a := d.order(1, "k1", "from away"); a.body != away.body {
+	if a := d.sendOrder(1, "k1", "from away"); a.body != remote.body {
 		t.Errorf("an isolated region answered a resend with %d %q", a.status, a.body)
 	}
 	d.entries[2].kill()
-	if a := d.order(0, "k3", "with one replica down"); a.status != http.StatusOK {
+	if a := d.sendOrder(0, "k3", "with one replica down"); a.status != http.StatusOK {
 		t.Errorf("with one replica down an order was answered %d %q", a.status, a.body)
 	}
 }
--- a/systemtest/commands_test.go
+++ b/systemtest/commands_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-// TestEditedInventory edits what the get command prints while another operator changes the inventory.
+// TestEditedInventory edits the output of the get command while another operator changes the inventory: applying the
+// outdated file must be refused.
 func TestEditedInventory(t *testing.T) {
 	t.Parallel()
-	s := newSystem(t, options{regions: lunchRegions[:1], entriesPerRegion: 2, inventory: lunchClub})
+	s := newSystem(t, options{regions: lunchClubRegions[:1], entriesPerRegion: 2, inventory: lunchClubInventory})
 	edited := filepath.Join(s.dir, "edited.json")
 	s.edit(edited)
 	out, err := s.command("diff", edited)
@@ -33,7 +34,7 @@
 	}
 }
 
-// edit writes what the get command prints to a file, with another budget of retries.
+// edit writes the output of the get command to a file, with another retry budget.
 func (s *system) edit(file string) {
 	s.t.Helper()
 	out, err := s.command("get")
@@ -46,23 +47,23 @@
 	}
 }
 
-// TestWaitNamesLagging waits for a revision while an entry is frozen, and again once it has woken. The other entry may
-// follow the frozen one, and then lags as well until it has found another source.
+// TestWaitNamesLagging waits for a revision while an entry is frozen, and again after it is thawed. The other entry may
+// follow the frozen one, and then lags as well until it has switched to another source.
 func TestWaitNamesLagging(t *testing.T) {
 	t.Parallel()
-	s := newSystem(t, options{regions: lunchRegions[:1], entriesPerRegion: 2, inventory: lunchClub})
-	s.inForce(1)
+	s := newSystem(t, options{regions: lunchClubRegions[:1], entriesPerRegion: 2, inventory: lunchClubInventory})
+	s.waitInForce(1)
 	frozen := s.entries[1]
 	frozen.freeze()
-	out, err := s.command("apply", lunchClub, "--expected", "1", "--wait", "--timeout", "5s")
+	out, err := s.command("apply", lunchClubInventory, "--expected", "1", "--wait", "--timeout", "5s")
 	_, lagging, waited := strings.Cut(out, "not seen yet at")
 	if err == nil || !strings.Contains(out, "revision 2 accepted") || !waited || !strings.Contains(lagging, frozen.name) {
 		t.Errorf("apply with a frozen entry: %v: %s", err, out)
 	}
 	frozen.thaw()
-	out, err = s.command("apply", lunchClub, "--expected", "2", "--wait")
+	out, err = s.command("apply", lunchClubInventory, "--expected", "2", "--wait")
 	if want := "revision 3 in force at 2 instances"; err != nil || !strings.Contains(out, want) {
-		t.Errorf("apply once the entry has woken: %v: %q, want %q", err, out, want)
+		t.Errorf("apply after the entry was thawed: %v: %q, want %q", err, out, want)
 	}
 	table, err := s.command("status", "--table")
 	if err != nil || !strings.Contains(table, "INSTANCE") || !strings.Contains(table, frozen.name) {
@@ -70,14 +71,14 @@
 	}
 }
 
-// patches is the number of operators that change the inventory at the same time.
+// patches is the number of operators that change the inventory concurrently.
 const patches = 8
 
-// TestRacingPatches sends a patch of each of several operators, again and again until it is answered, while the leader
-// is killed; each is in force once.
+// TestRacingPatches sends patches of several operators concurrently and retries each until it is accepted, while the
+// leader is killed. Each patch must take effect exactly once.
 func TestRacingPatches(t *testing.T) {
 	t.Parallel()
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	leader := s.leader()
 	var wg sync.WaitGroup
 	for i := range patches {
@@ -119,10 +120,11 @@
 	}
 }
 
-// TestHistoryAndRollback changes the inventory, restarts the voter from its snapshot, and puts an earlier revision in force.
+// TestHistoryAndRollback changes the inventory, restarts the voter from its snapshot, and rolls back to an earlier
+// revision.
 func TestHistoryAndRollback(t *testing.T) {
 	t.Parallel()
-	s := newSystem(t, options{regions: lunchRegions[:1], entriesPerRegion: 1, inventory: lunchClub, controlArgs: []string{"--snapshotEntries", "10"}})
+	s := newSystem(t, options{regions: lunchClubRegions[:1], entriesPerRegion: 1, inventory: lunchClubInventory, controlArgs: []string{"--snapshotEntries", "10"}})
 	must := func(want string, args ...string) {
 		t.Helper()
 		if out, err := s.command(args...); err != nil || !strings.Contains(out, want) {
@@ -130,7 +132,7 @@
 		}
 	}
 	for revision := 2; revision <= 11; revision++ {
-		must(fmt.Sprintf("revision %d accepted", revision), "apply", lunchClub)
+		must(fmt.Sprintf("revision %d accepted", revision), "apply", lunchClubInventory)
 	}
 	edited := filepath.Join(s.dir, "edited.json")
 	s.edit(edited)
--- a/systemtest/configuration_test.go
+++ b/systemtest/configuration_test.go
@@ -14,13 +14,13 @@
 	"time"
 )
 
-var lunchRegions = []string{"lahore", "karachi", "peshawar"}
+var lunchClubRegions = []string{"lahore", "karachi", "peshawar"}
 
-// voters returns a system of three voters that take snapshots often, with entries in each region.
-func voters(t *testing.T, entriesPerRegion int) *system {
+// newVoterSystem returns a system of three voters that take a snapshot every 40 entries, with entries in each region.
+func newVoterSystem(t *testing.T, entriesPerRegion int) *system {
 	t.Helper()
 	return newSystem(t, options{
-		regions: lunchRegions, entriesPerRegion: entriesPerRegion, inventory: lunchClub,
+		regions: lunchClubRegions, entriesPerRegion: entriesPerRegion, inventory: lunchClubInventory,
 		controlArgs: []string{"--snapshotEntries", "40"},
 	})
 }
@@ -30,7 +30,7 @@
 	Voter      bool
 }
 
-// quorumStatus is the part of the operators' status that the tests look at.
+// quorumStatus is the part of the status command's output that the tests read.
 type quorumStatus struct {
 	Leader    string
 	Revision  string
@@ -52,7 +52,7 @@
 	return m
 }
 
-// leader returns the control that leads.
+// leader waits for a leader and returns it.
 func (s *system) leader() *instance {
 	s.t.Helper()
 	var leader *instance
@@ -68,16 +68,16 @@
 	return leader
 }
 
-func (s *system) otherControls(but *instance) []*instance {
-	return slices.DeleteFunc(slices.Clone(s.controls), func(c *instance) bool { return c == but })
+func (s *system) otherControls(excluded *instance) []*instance {
+	return slices.DeleteFunc(slices.Clone(s.controls), func(c *instance) bool { return c == excluded })
 }
 
-// change proposes the inventory again under a change id.
+// change proposes the same inventory again under a change ID.
 func (s *system) change(id string, expected int) (string, error) {
-	return s.command("apply", lunchClub, "--expected", fmt.Sprint(expected), "--changeId", id)
+	return s.command("apply", lunchClubInventory, "--expected", fmt.Sprint(expected), "--changeId", id)
 }
 
-// mustChange proposes a change that must be accepted.
+// mustChange proposes a change and fails the test if it is not accepted.
 func (s *system) mustChange(id string, expected int) {
 	s.t.Helper()
 	out, err := s.change(id, expected)
@@ -86,18 +86,18 @@
 	}
 }
 
-// applyBody returns the request of a change.
+// applyBody returns the request body of a change.
 func applyBody(t *testing.T, id string, expected int) string {
 	t.Helper()
-	b, err := os.ReadFile(lunchClub)
+	b, err := os.ReadFile(lunchClubInventory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf(`{"expectedRevision":"%d","changeId":%q,"inventory":%s}`, expected, id, b)
 }
 
-// inForce waits until every entry has a revision in force, by the operators' status.
-func (s *system) inForce(revision int) {
+// waitInForce waits until the status command reports a revision in force at every entry.
+func (s *system) waitInForce(revision int) {
 	s.t.Helper()
 	s.until(fmt.Sprintf("revision %d is in force at every entry", revision), func() bool {
 		at := map[string]bool{}
@@ -109,7 +109,7 @@
 }
 
 func TestRacingOperators(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	const operators = 8
 	outs := make([]string, operators)
 	errs := make([]error, operators)
@@ -129,13 +129,13 @@
 		}
 	}
 	if accepted != 1 {
-		t.Errorf("%d operators with equal numbers succeeded", accepted)
+		t.Errorf("%d operators that expected the same revision succeeded", accepted)
 	}
-	s.inForce(2)
+	s.waitInForce(2)
 }
 
 func TestLeaderKilledAmidChanges(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	for i := 1; i <= 24; i++ {
 		var killed *instance
 		if i%6 == 0 {
@@ -152,11 +152,11 @@
 	if out, err := s.change("late", 3); err == nil || !strings.Contains(out, "revision 25 is in force") {
 		t.Errorf("a change on an old revision: %v: %s", err, out)
 	}
-	s.inForce(25)
+	s.waitInForce(25)
 }
 
 func TestLostAnswer(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	leader := s.leader()
 	body := applyBody(t, "lost", 1)
 	conn, err := net.Dial("tcp", leader.operator)
@@ -174,12 +174,12 @@
 }
 
 func TestWokenLeaderIsNotCurrent(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	old := s.leader()
 	old.freeze()
 	s.mustChange("while-frozen", 1)
 	var wg sync.WaitGroup
-	answers := make([]answer, 20)
+	answers := make([]response, 20)
 	for i := range answers {
 		wg.Go(func() {
 			if i%2 == 0 {
@@ -194,18 +194,18 @@
 	wg.Wait()
 	for i, a := range answers {
 		if a.status == http.StatusOK && !strings.Contains(a.body, `"revision": "2"`) {
-			t.Errorf("request %d to the woken leader: %d %.200s", i, a.status, a.body)
+			t.Errorf("request %d to the thawed leader: %d %.200s", i, a.status, a.body)
 		}
 		if i%2 == 1 && a.status == http.StatusOK {
-			t.Errorf("the woken leader accepted change %d", i)
+			t.Errorf("the thawed leader accepted change %d", i)
 		}
 	}
 	s.mustChange("after", 2)
-	s.inForce(3)
+	s.waitInForce(3)
 }
 
 func TestSecondLossAfterRepair(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	s.mustChange("before", 1)
 	first := s.controls[0]
 	first.kill()
@@ -215,7 +215,7 @@
 	first.start()
 	s.mustChange("one-lost", 2)
 	if out, err := s.command("members", "add", first.name+"="+first.peer); err == nil || !strings.Contains(out, "memberExists") {
-		t.Errorf("adding a member whose old disk is one: %v: %s", err, out)
+		t.Errorf("adding a member that is still registered with its old disk: %v: %s", err, out)
 	}
 	if out, err := s.command("members", "remove", first.name); err != nil {
 		t.Fatalf("remove: %v: %s", err, out)
@@ -234,23 +234,23 @@
 	}
 	s.mustChange("two-lost", 3)
 	s.mustChange("before", 1)
-	s.inForce(4)
+	s.waitInForce(4)
 }
 
-// TestFrozenVoterIsLeft freezes each voter in turn: the entries that follow it must find another one.
+// TestFrozenVoterIsLeft freezes each voter in turn: the entries that follow it must switch to another one.
 func TestFrozenVoterIsLeft(t *testing.T) {
-	s := voters(t, 2)
+	s := newVoterSystem(t, 2)
 	for i, c := range s.controls {
 		c.freeze()
 		s.mustChange(fmt.Sprint("frozen-", i), i+1)
-		s.inForce(i + 2)
+		s.waitInForce(i + 2)
 		c.thaw()
 	}
 }
 
-// TestJoinReplacesInstance adds a fourth voter, removes a first one, and loses another.
+// TestJoinReplacesInstance adds a fourth voter, removes the first one, and kills another.
 func TestJoinReplacesInstance(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	old := s.controls[0]
 	joined := &instance{region: "karachi", peer: freeAddress(t), operator: freeAddress(t)}
 	args := append(slices.Clone(old.args),
@@ -272,31 +272,31 @@
 	s.mustChange("replaced", 1)
 	s.controls[1].kill()
 	s.mustChange("one-less", 2)
-	s.inForce(3)
+	s.waitInForce(3)
 }
 
 func TestRollingRestartOfVoters(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	if led := s.leader(); led != s.controls[0] {
 		i := slices.Index(s.controls, led)
 		s.controls[0], s.controls[i] = s.controls[i], s.controls[0]
 	}
 	for i, c := range s.controls {
 		c.stop()
-		if i == 0 && !strings.Contains(c.logged(), `"transferred":true`) {
-			t.Error("the stopped leader did not hand over")
+		if i == 0 && !strings.Contains(c.output(), `"transferred":true`) {
+			t.Error("the stopped leader did not transfer its leadership")
 		}
 		s.mustChange(fmt.Sprint("without-", i), 2*i+1)
 		c.start()
 		s.mustChange(fmt.Sprint("with-", i), 2*i+2)
 	}
-	s.inForce(7)
+	s.waitInForce(7)
 }
 
 func TestCutOffRegionRestartsFromPeers(t *testing.T) {
-	s := voters(t, 2)
+	s := newVoterSystem(t, 2)
 	s.mustChange("second", 1)
-	s.inForce(2)
+	s.waitInForce(2)
 	for _, c := range s.controls {
 		c.freeze()
 	}
@@ -308,7 +308,7 @@
 	restarted := s.entries[0]
 	restarted.kill()
 	restarted.start()
-	var a answer
+	var a response
 	s.until("the restarted entry is ready", func() bool {
 		a = s.do(http.MethodGet, restarted.caller, "/readyz", "", "")
 		return a.status == http.StatusOK
@@ -316,24 +316,24 @@
 	if !strings.Contains(a.body, `"2"`) || !strings.Contains(a.body, s.entries[1].name) {
 		t.Errorf("readyz: %s", a.body)
 	}
-	for _, p := range s.all {
+	for _, p := range s.processes {
 		p.thaw()
 	}
 	s.mustChange("third", 2)
-	s.inForce(3)
+	s.waitInForce(3)
 }
 
-// TestRevisionsComeInForce logs the time from the decision of a change to its adoption at the last of nine entries.
+// TestRevisionsComeInForce logs the time from the decision on a change to its adoption by the last of nine entries.
 func TestRevisionsComeInForce(t *testing.T) {
-	s := voters(t, 3)
+	s := newVoterSystem(t, 3)
 	const changes = 40
 	for i := 1; i <= changes; i++ {
 		s.mustChange(fmt.Sprint("change-", i), i)
 	}
-	s.inForce(changes + 1)
+	s.waitInForce(changes + 1)
 	decided, adopted := map[int64]time.Time{}, map[int64]time.Time{}
-	for _, p := range s.all {
-		for line := range strings.Lines(p.logged()) {
+	for _, p := range s.processes {
+		for line := range strings.Lines(p.output()) {
 			var m struct {
 				Message  string
 				Revision int64
--- a/systemtest/domains_test.go
+++ b/systemtest/domains_test.go
@@ -7,21 +7,22 @@
 	"testing"
 )
 
-// TestCallReplicasInOneDomain moves a ledger replica into the failure domain of another one, and back.
+// TestCallReplicasInOneDomain moves a ledger replica into the failure domain of another replica and back: two of three
+// replicas in one domain must be reported.
 func TestCallReplicasInOneDomain(t *testing.T) {
-	d := newDesk(t, options{})
+	d := newServiceSystem(t, options{})
 	move := func(domain string) {
 		d.entries[1].stop()
 		d.entries[1].args[slices.Index(d.entries[1].args, "--failureDomain")+1] = domain
-		d.startAgain(1)
+		d.restart(1)
 	}
-	told := func() (told int) {
+	reports := func() (reports int) {
 		for _, e := range d.entries {
 			if strings.Contains(d.do(http.MethodGet, e.caller, "/readyz", "", "").body, `"lahore-a"`) {
-				told++
+				reports++
 			}
 		}
-		return told
+		return reports
 	}
 	status := func() string {
 		out, _ := d.command("status")
@@ -31,12 +32,12 @@
 		t.Errorf("replicas in three failure domains are reported: %s", out)
 	}
 	move("lahore-a")
-	d.until("each entry tells the domain", func() bool { return told() == len(d.entries) })
-	d.until("the status tells the domain", func() bool { return strings.Contains(status(), `"ledgerFatalDomain": "lahore-a"`) })
-	if !strings.Contains(d.entries[0].logged(), "ledgerInOneDomain") {
-		t.Error("no log line tells the domain")
+	d.until("each entry reports the domain", func() bool { return reports() == len(d.entries) })
+	d.until("the status reports the domain", func() bool { return strings.Contains(status(), `"ledgerFatalDomain": "lahore-a"`) })
+	if !strings.Contains(d.entries[0].output(), "ledgerInOneDomain") {
+		t.Error("no log line reports the domain")
 	}
 	move("lahore-b")
-	d.until("no entry tells the domain any more", func() bool { return told() == 0 })
-	d.until("nor the status", func() bool { return !strings.Contains(status(), `"lahore-a"`) })
+	d.until("no entry reports the domain any longer", func() bool { return reports() == 0 })
+	d.until("the status no longer reports the domain", func() bool { return !strings.Contains(status(), `"lahore-a"`) })
 }
--- a/systemtest/explain_test.go
+++ b/systemtest/explain_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-func TestExplainTellsTheStoryAcrossInstances(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClub})
+func TestExplainAcrossInstances(t *testing.T) {
+	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	lahore, karachi := s.entries[0], s.entries[1]
 	s.engine("engine-karachi", "karachi", "menu-model", "dastarkhwan-menu")
-	var a answer
+	var a response
 	s.until("a plan of lahore is answered in karachi", func() bool {
 		a = s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, markedBody)
 		return a.status == http.StatusOK
 	})
 	id := a.header.Get("X-Correlation-Id")
 	var out string
-	s.until("explain tells of the end", func() bool {
+	s.until("explain shows the end of the request", func() bool {
 		out, _ = s.command("explain", id)
 		return strings.Contains(out, `"answered"`)
 	})
@@ -25,10 +25,10 @@
 	routed := strings.Index(out, `"endpoint":"engine-karachi"`)
 	answered := strings.Index(out, `"answered"`)
 	if forwarded < 0 || routed < forwarded || answered < routed {
-		t.Errorf("the story is out of order:\n%s", out)
+		t.Errorf("the decisions are out of order:\n%s", out)
 	}
 	if strings.Contains(out, marker) {
-		t.Error("the story holds the data of the request")
+		t.Error("the decisions contain the data of the request")
 	}
 	path := "/v1/decisions/correlationId/" + id
 	if status := s.get(lahore.caller, path, lahoreToken); status != http.StatusUnauthorized {
--- a/systemtest/harness_test.go
+++ b/systemtest/harness_test.go
@@ -19,22 +19,22 @@
 	"time"
 )
 
-// Bounds of the harness's waits; no test asserts a time.
+// Bounds of the waits of the harness; no test asserts a duration.
 const (
-	startLimit = 30 * time.Second
-	pollPeriod = 20 * time.Millisecond
-	callLimit  = 20 * time.Second
+	waitTimeout    = 30 * time.Second
+	pollPeriod     = 20 * time.Millisecond
+	requestTimeout = 20 * time.Second
 )
 
 const operatorToken = "operators-test-token"
 
-var programs string
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
-// buildAndRun builds the programs once for all tests.
+// buildAndRun builds the programs once and runs all tests with them.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "systemtest")
 	if err != nil {
@@ -47,11 +47,11 @@
 		fmt.Fprintln(os.Stderr, string(out))
 		return 1
 	}
-	programs = dir
+	binDir = dir
 	return m.Run()
 }
 
-// instance is an entry or control process with its addresses.
+// instance is an entry, control or endpoint process with its addresses.
 type instance struct {
 	*process
 	region   string
@@ -61,7 +61,8 @@
 	operator string
 }
 
-// system is a set of processes on loopback: a directory, a control voter for each region, entries and endpoints.
+// system is a set of processes on loopback addresses: a directory, a control voter for each region, entries and
+// endpoints.
 type system struct {
 	t         *testing.T
 	dir       string
@@ -70,15 +71,16 @@
 	entries   []*instance
 	endpoints []*instance
 	inventory string
-	all       []*process
+	processes []*process
 	tls       *tls.Config
-	// authorityFile is given to the operators' commands.
+	// authorityFile is the path of the certificate authority for the operators' commands.
 	authorityFile string
 	mu            sync.Mutex
 	epochs        map[string]string
 }
 
-// placementFlag is the flag of the period of placement; without it in the options, engines keep their models.
+// placementFlag sets the placement period. Without it in the options the period is 1 h, so that engines keep their
+// models.
 const placementFlag = "--placementPeriod"
 
 // options describes a system; each region has one control voter.
@@ -86,20 +88,20 @@
 	regions          []string
 	entriesPerRegion int
 	inventory        string
-	// entryArgs and controlArgs are added to the arguments of each entry and control.
+	// entryArgs and controlArgs are appended to the arguments of each entry and control.
 	entryArgs   []string
 	controlArgs []string
 	// dataFolders gives each entry a data folder.
 	dataFolders bool
-	// certificates makes every process of the system speak TLS.
+	// certificates, if set, enables TLS for every entry, control and operator command.
 	certificates *certificates
 }
 
-// newSystem starts a system without endpoints and applies its inventory; everything ends with the test.
+// newSystem starts a system without endpoints and applies its inventory. All processes are killed when the test ends.
 func newSystem(t *testing.T, o options) *system {
 	t.Helper()
 	s := &system{t: t, dir: t.TempDir(), directory: freeAddress(t), inventory: o.inventory}
-	t.Cleanup(s.end)
+	t.Cleanup(s.killAll)
 	if o.certificates != nil {
 		s.tls = o.certificates.client()
 		s.authorityFile = o.certificates.authorityFile
@@ -155,21 +157,21 @@
 	return s
 }
 
-// end kills every process and prints the logs of a failed test.
-func (s *system) end() {
-	for _, p := range s.all {
+// killAll kills every process and prints their logs if the test failed.
+func (s *system) killAll() {
+	for _, p := range s.processes {
 		p.thaw()
 		p.kill()
 	}
 	if !s.t.Failed() {
 		return
 	}
-	for _, p := range s.all {
-		s.t.Logf("log of %s:\n%s", p.name, tail(p.logged()))
+	for _, p := range s.processes {
+		s.t.Logf("log of %s:\n%s", p.name, tail(p.output()))
 	}
 }
 
-// operators returns the operators' addresses of the control voters.
+// operators returns the operator addresses of the control voters, separated by commas.
 func (s *system) operators() string {
 	var addresses []string
 	for _, c := range s.controls {
@@ -178,11 +180,11 @@
 	return strings.Join(addresses, ",")
 }
 
-// command runs an operators' command and returns its output.
+// command runs an operator command and returns its output.
 func (s *system) command(args ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(s.t.Context(), callLimit)
+	ctx, cancel := context.WithTimeout(s.t.Context(), requestTimeout)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, filepath.Join(programs, "arbutusreel"), args...)
+	cmd := exec.CommandContext(ctx, filepath.Join(binDir, "arbutusreel"), args...)
 	cmd.Env = append(os.Environ(), "ARBUTUSREEL_TOKEN="+operatorToken, "ARBUTUSREEL_CONTROLS="+s.operators())
 	if s.tls != nil {
 		cmd.Env = append(cmd.Env, "ARBUTUSREEL_TLS_AUTHORITY_FILE="+s.authorityFile)
@@ -191,7 +193,7 @@
 	return string(out), err
 }
 
-// apply applies an inventory file, trying again until the quorum accepts it.
+// apply applies an inventory file and retries until the quorum accepts it.
 func (s *system) apply(file string) {
 	s.t.Helper()
 	s.until("the inventory is accepted", func() bool {
@@ -200,7 +202,7 @@
 	})
 }
 
-// engine starts an emulated model engine and waits until the region's entries know it.
+// engine starts an emulated model engine.
 func (s *system) engine(name, region, service, models string, args ...string) *instance {
 	e := &instance{region: region, caller: freeAddress(s.t)}
 	base := []string{
@@ -224,20 +226,20 @@
 	return e
 }
 
-// until polls a condition; it fails the test if the condition does not come about.
+// until polls a condition and fails the test if it does not hold within waitTimeout.
 func (s *system) until(what string, condition func() bool) {
 	s.t.Helper()
-	deadline := time.Now().Add(startLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("gave up waiting: %s", what)
+			s.t.Fatalf("timed out waiting: %s", what)
 		}
 		time.Sleep(pollPeriod)
 	}
 }
 
-// doWithin sends one request whose caller leaves when ctx ends.
-func (s *system) doWithin(ctx context.Context, method, address, path, token, body string, headers ...string) answer {
+// doContext sends one request, which the caller abandons when ctx is done.
+func (s *system) doContext(ctx context.Context, method, address, path, token, body string, headers ...string) response {
 	req, err := http.NewRequestWithContext(ctx, method, s.scheme()+address+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		s.t.Fatal(err)
@@ -252,22 +254,22 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: s.tls}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
-	return answer{status: resp.StatusCode, body: string(b), header: resp.Header}
+	return response{status: resp.StatusCode, body: string(b), header: resp.Header}
 }
 
-// ledgerReplicas returns the setting of each region's ledger replicas: its first three entries.
+// ledgerReplicas returns the ledgerReplicas setting of each region, which names its first three entries.
 func ledgerReplicas(entries []*instance) map[string]string {
-	const most = 3
+	const replicasPerRegion = 3
 	members := map[string][]string{}
 	for _, e := range entries {
-		if len(members[e.region]) < most {
+		if len(members[e.region]) < replicasPerRegion {
 			members[e.region] = append(members[e.region], e.name+"="+e.peer)
 		}
 	}
--- a/systemtest/keys_test.go
+++ b/systemtest/keys_test.go
@@ -19,7 +19,7 @@
 	"arbutusreel/wiregen"
 )
 
-// certificates are the files of a system that speaks TLS; a nil set is plain.
+// certificates are the certificate files of a system that uses TLS. A nil value means plaintext.
 type certificates struct {
 	t             *testing.T
 	dir           string
@@ -47,10 +47,10 @@
 	return file
 }
 
-// sign writes a new certificate and key of an instance to the files that bear the prefix.
+// sign writes a new certificate and key of an instance to files whose names start with the prefix.
 func (c *certificates) sign(prefix, name, region string) keys.Files {
 	c.t.Helper()
-	certificate, key, err := c.authority.Sign(keys.Identity{Name: name, Region: region}.URI(), net.ParseIP(ownNumber()))
+	certificate, key, err := c.authority.Sign(keys.Identity{Name: name, Region: region}.URI(), net.ParseIP(loopbackIP()))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// args returns the settings of an instance with a certificate of its own.
+// args returns the TLS flags of an instance with its own certificate.
 func (c *certificates) args(name, region string) []string {
 	if c == nil {
 		return nil
@@ -76,7 +76,7 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 }
 
-// source returns the credentials of an instance with a certificate of its own.
+// source returns the credentials of an instance with its own certificate.
 func (c *certificates) source(name, region string) *keys.Source {
 	c.t.Helper()
 	source, err := keys.New(c.sign("test-"+name, name, region), time.Now, func(error) {})
@@ -93,7 +93,8 @@
 	return "http://"
 }
 
-// exchange makes one exchange on a new connection, in which the peer claims a name.
+// exchange calls Exchange once on a new connection with claim as the name of the sender. It expects the receiver to be
+// named expect.
 func exchange(t *testing.T, source *keys.Source, to *instance, expect, claim string) error {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+to.peer, grpc.WithTransportCredentials(source.Client(expect)))
@@ -101,21 +102,21 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), callLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
 	_, err = wiregen.NewPeerClient(conn).Exchange(ctx, &wiregen.ExchangeRequest{Sender: claim, Region: "karachi"})
 	return err
 }
 
-// askLedger asks a ledger replica as an instance of another region.
-func askLedger(t *testing.T, source *keys.Source, to *instance) error {
+// queryLedger sends a ledger request to an entry with the credentials of source.
+func queryLedger(t *testing.T, source *keys.Source, to *instance) error {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+to.peer, grpc.WithTransportCredentials(source.Client(to.name)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), callLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
 	_, err = wiregen.NewLedgerClient(conn).Handle(ctx, &wiregen.LedgerRequest{})
 	return err
@@ -123,7 +124,7 @@
 
 func TestMutualTLS(t *testing.T) {
 	c := newCertificates(t)
-	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClub, certificates: c})
+	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClubInventory, certificates: c})
 	lahore := s.entries[0]
 	s.engine("engine-karachi", "karachi", "menu-model", "dastarkhwan-menu")
 	answered := func() bool {
@@ -140,8 +141,8 @@
 	}
 	check("own name", exchange(t, own, lahore, lahore.name, "entry-test"), true)
 	check("claim of another name", exchange(t, own, lahore, lahore.name, "entry-karachi-0"), false)
-	check("ledger of another region", askLedger(t, own, lahore), false)
-	check("ledger of the own region", askLedger(t, c.source("entry-near", "lahore"), lahore), true)
+	check("ledger of another region", queryLedger(t, own, lahore), false)
+	check("ledger of the own region", queryLedger(t, c.source("entry-near", "lahore"), lahore), true)
 	check("the receiver has another name", exchange(t, own, lahore, "entry-karachi-0", "entry-test"), false)
 	check("plain", exchange(t, keys.Plain(), lahore, "", "entry-test"), false)
 	foreign := newCertificates(t).source("entry-test", "karachi")
@@ -158,7 +159,7 @@
 	}
 }
 
-// serial returns the serial number of the certificate that an address serves.
+// serial returns the serial number of the certificate that is served at an address.
 func (s *system) serial(address string) string {
 	s.t.Helper()
 	conn, err := tls.Dial("tcp", address, s.tls)
--- a/systemtest/leaderload_test.go
+++ b/systemtest/leaderload_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// TestNewPlacementLeaderLearnsLoads kills the leader while an engine loads by its order; the next one must wait for that load.
+// TestNewPlacementLeaderLearnsLoads kills the leader while an engine loads a model that it ordered. The next leader must
+// learn of this load and wait for it instead of ordering another one.
 func TestNewPlacementLeaderLearnsLoads(t *testing.T) {
 	s := newSystem(t, options{
-		regions: []string{"lahore", "karachi", "peshawar"}, entriesPerRegion: 1, inventory: editedInventory(t, fastStore),
+		regions: []string{"lahore", "karachi", "peshawar"}, entriesPerRegion: 1, inventory: editedInventory(t, withSmallWeights),
 		controlArgs: []string{"--placementPeriod", "100ms"},
 	})
 	lahore := s.entries[0]
@@ -22,7 +23,7 @@
 	applied := func() int {
 		n := 0
 		for _, e := range engines {
-			n += len(s.ordersOf(e))
+			n += len(s.appliedOrders(e))
 		}
 		return n
 	}
@@ -32,7 +33,7 @@
 		return s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, dishCheckBody).status == http.StatusOK
 	})
 	for _, e := range engines {
-		if len(s.ordersOf(e)) == 0 {
+		if len(s.appliedOrders(e)) == 0 {
 			continue
 		}
 		if out, err := s.command("explain", "placement", e.name); err != nil || !strings.Contains(out, "loadLearned") {
@@ -40,6 +41,6 @@
 		}
 	}
 	if n := applied(); n != 1 {
-		t.Errorf("%d orders were applied, 1 load is needed", n)
+		t.Errorf("%d orders were applied, want 1", n)
 	}
 }
--- a/systemtest/membership_test.go
+++ b/systemtest/membership_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSilentEndpoint(t *testing.T) {
-	d := newDesk(t, options{})
+	d := newServiceSystem(t, options{})
 	steps := []struct {
 		name    string
 		silence func()
@@ -30,21 +30,22 @@
 			}
 		}
 		for i := range 3 {
-			code, outcome := d.order(i, step.name+" after", "after").problemCode()
+			code, outcome := d.sendOrder(i, step.name+" after", "after").problemCode()
 			if code != "noCapacity" || outcome != "notRun" {
 				t.Errorf("%s: entry %d answered code %q, outcome %q after the lease", step.name, i, code, outcome)
 			}
 		}
 		step.revive()
 		for i := range 3 {
-			d.until("an order is answered again", func() bool { return d.order(i, step.name+" again", "again").status == http.StatusOK })
+			d.until("an order is answered again", func() bool { return d.sendOrder(i, step.name+" again", "again").status == http.StatusOK })
 		}
 	}
 }
 
-func TestEntriesNameLeaving(t *testing.T) {
-	// The notice is longer than any wait of the test, so that no entry is forgotten because it has stopped.
-	d := newDesk(t, options{entryArgs: []string{"--drainNotice", "1m"}})
+func TestLeavingEntryIsNotListed(t *testing.T) {
+	// The drain notice is longer than any wait of the test, so that the entry is unlisted because it is leaving and not
+	// because it has stopped.
+	d := newServiceSystem(t, options{entryArgs: []string{"--drainNotice", "1m"}})
 	list := func(i int) string {
 		return d.do(http.MethodGet, d.entries[i].caller, "/v1/entries", lahoreToken, "").body
 	}
--- a/systemtest/path_test.go
+++ b/systemtest/path_test.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	lunchClub   = "../examples/lunchclub/inventory.json"
-	lahoreToken = "lahore-demo-token"
-	chatPath    = "/v1/chat/completions"
-	orderPath   = "/v1/services/club-desk/orders"
-	planBody    = `{"model":"dastarkhwan-menu","max_tokens":4,"stream":true,"messages":[{"role":"user","content":"plan"}]}`
+	lunchClubInventory = "../examples/lunchclub/inventory.json"
+	lahoreToken        = "lahore-demo-token"
+	chatPath           = "/v1/chat/completions"
+	orderPath          = "/v1/services/club-desk/orders"
+	planBody           = `{"model":"dastarkhwan-menu","max_tokens":4,"stream":true,"messages":[{"role":"user","content":"plan"}]}`
 )
 
 func TestWholePath(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore", "karachi", "peshawar"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore", "karachi", "peshawar"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	s.engine("engine-lahore", "lahore", "menu-model", "dastarkhwan-menu")
 	s.service("desk-lahore", "lahore", "club-desk")
 	lahore := s.entries[0]
-	var a answer
+	var a response
 	s.until("a plan is answered", func() bool {
 		a = s.do(http.MethodPost, lahore.caller, chatPath, "lahore-demo-token", planBody)
 		return a.status == http.StatusOK
 	})
 	if !strings.HasSuffix(a.body, "data: [DONE]\n\n") {
-		t.Errorf("the stream has no end mark: %q", a.body)
+		t.Errorf("the stream has no [DONE] event: %q", a.body)
 	}
 	s.until("an order is answered", func() bool {
 		a = s.do(http.MethodPost, lahore.caller, orderPath, "lahore-demo-token", "lentils", "Idempotency-Key", "k1")
@@ -38,11 +38,11 @@
 }
 
 func TestStopAndFreeze(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore", "karachi", "peshawar"}, entriesPerRegion: 2, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore", "karachi", "peshawar"}, entriesPerRegion: 2, inventory: lunchClubInventory})
 	s.engine("engine-lahore", "lahore", "menu-model", "dastarkhwan-menu")
 	first, second := s.entries[0], s.entries[1]
 	s.until("both entries answer a plan", func() bool {
-		return s.plans(first, lahoreToken) && s.plans(second, lahoreToken)
+		return s.answersPlan(first, lahoreToken) && s.answersPlan(second, lahoreToken)
 	})
 	s.controls[0].freeze()
 	first.stop()
--- a/systemtest/process_test.go
+++ b/systemtest/process_test.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// process is one program under test, which can be stopped, killed, frozen and started again with the same arguments.
+// process is a program under test that can be stopped, killed, frozen and restarted with the same arguments.
 type process struct {
-	t    *testing.T
-	name string
-	args []string
-	env  []string
-	cmd  *exec.Cmd
-	log  string
-	done chan struct{}
+	t       *testing.T
+	name    string
+	args    []string
+	env     []string
+	cmd     *exec.Cmd
+	logFile string
+	done    chan struct{}
 }
 
-// start starts the process; its output is appended to its log.
+// start starts the process and appends its output to its log file.
 func (p *process) start() {
 	p.t.Helper()
-	f, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	cmd := exec.Command(filepath.Join(programs, p.args[0]), p.args[1:]...)
+	cmd := exec.Command(filepath.Join(binDir, p.args[0]), p.args[1:]...)
 	cmd.Stdout, cmd.Stderr = f, f
 	cmd.Env = append(os.Environ(), p.env...)
 	if err := cmd.Start(); err != nil {
@@ -38,7 +38,7 @@
 	done := make(chan struct{})
 	p.cmd, p.done = cmd, done
 	go func() {
-		// How it ended is told with the log: a process that is killed writes nothing itself.
+		// Record the exit status in the log, because a process that is killed writes nothing itself.
 		_ = cmd.Wait()
 		_, _ = fmt.Fprintf(f, "ended: %v\n", cmd.ProcessState)
 		_ = f.Close()
@@ -48,30 +48,31 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process at once and waits for it.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop asks for a graceful stop and waits for it.
+// stop requests a graceful shutdown and waits until the process has exited.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	<-p.done
 }
 
-// freeze stops the process as it is and waits until it no longer runs.
+// freeze suspends the process with SIGSTOP and waits until all its threads are stopped.
 func (p *process) freeze() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	for deadline := time.Now().Add(startLimit); !p.frozen(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !p.frozen(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			p.t.Fatalf("gave up waiting: %s is frozen", p.name)
+			p.t.Fatalf("timed out waiting: %s is frozen", p.name)
 		}
 	}
 }
 
-// frozen reports whether every thread of the process is stopped, by the state that follows each thread's name in brackets.
+// frozen reports whether every thread of the process is stopped. It reads the state that follows the parenthesized
+// thread name in /proc/PID/task/TID/stat.
 func (p *process) frozen() bool {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	for _, thread := range threads {
@@ -85,22 +86,22 @@
 
 func (p *process) thaw() { p.signal(syscall.SIGCONT) }
 
-// logged returns what the process has written.
-func (p *process) logged() string {
-	b, _ := os.ReadFile(p.log)
+// output returns everything that the process has written to its log file.
+func (p *process) output() string {
+	b, _ := os.ReadFile(p.logFile)
 	return string(b)
 }
 
-// run starts one process.
+// run starts a process that is killed when the test ends.
 func (s *system) run(name string, args ...string) *process {
 	s.t.Helper()
-	p := &process{t: s.t, name: name, args: args, log: filepath.Join(s.dir, name+".log")}
+	p := &process{t: s.t, name: name, args: args, logFile: filepath.Join(s.dir, name+".log")}
 	p.start()
-	s.all = append(s.all, p)
+	s.processes = append(s.processes, p)
 	return p
 }
 
-// tail returns the end of a long text.
+// tail returns the last bytes of a long text.
 func tail(text string) string {
 	const limit = 4000
 	if len(text) > limit {
--- a/systemtest/residency_test.go
+++ b/systemtest/residency_test.go
@@ -25,7 +25,7 @@
 	markedBody = `{"model":"dastarkhwan-menu","max_tokens":4,"stream":true,"messages":[{"role":"user","content":"` + marker + `"}]}`
 )
 
-// recorder is an entry of another region that keeps every byte that it receives.
+// recorder is a fake entry of another region that records every byte that it receives.
 type recorder struct {
 	wiregen.UnimplementedPeerServer
 
@@ -36,11 +36,11 @@
 	mu       sync.Mutex
 	received bytes.Buffer
 	sequence uint64
-	// endpoints is the number of endpoints that the recorder was told of.
+	// endpoints is the number of endpoints in the replies that the recorder received.
 	endpoints int
 }
 
-// newRecorder serves an entry of the region that says it has capacity for every service.
+// newRecorder starts a recorder in the region that advertises capacity for each of the services.
 func newRecorder(t *testing.T, region string, services ...string) *recorder {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +78,7 @@
 	return n, err
 }
 
-func (r *recorder) holds(text string) bool {
+func (r *recorder) contains(text string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return bytes.Contains(r.received.Bytes(), []byte(text))
@@ -102,7 +102,7 @@
 	return entries, summaries
 }
 
-// Exchange tells of the recorder's region.
+// Exchange returns the adverts of the recorder's region.
 func (r *recorder) Exchange(context.Context, *wiregen.ExchangeRequest) (*wiregen.ExchangeReply, error) {
 	entries, summaries := r.adverts()
 	sequence := summaries[0].GetSequence()
@@ -114,8 +114,8 @@
 	return &wiregen.ExchangeReply{Entries: entries, Global: []*wiregen.ShareDelta{origin}}, nil
 }
 
-// endpointsOf counts the endpoints in an answer.
-func endpointsOf(reply *wiregen.ExchangeReply) int {
+// countEndpoints returns the number of endpoints in a reply.
+func countEndpoints(reply *wiregen.ExchangeReply) int {
 	count := 0
 	for _, d := range append(reply.GetLocal(), reply.GetGlobal()...) {
 		for _, item := range d.GetItems() {
@@ -127,19 +127,19 @@
 	return count
 }
 
-func (r *recorder) hear(endpoints int) {
+func (r *recorder) addEndpoints(endpoints int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endpoints += endpoints
 }
 
-func (r *recorder) heard() int {
+func (r *recorder) endpointCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints
 }
 
-// Forward answers with one piece.
+// Forward answers with a single piece.
 func (r *recorder) Forward(_ *wiregen.ForwardRequest, frames grpc.ServerStreamingServer[wiregen.ForwardFrame]) error {
 	piece := &wiregen.ForwardFrame{Frame: &wiregen.ForwardFrame_Piece{Piece: &wiregen.ForwardPiece{Data: []byte("away ")}}}
 	if err := frames.Send(piece); err != nil {
@@ -148,7 +148,7 @@
 	return frames.Send(&wiregen.ForwardFrame{Frame: &wiregen.ForwardFrame_End{End: &wiregen.ForwardEnd{Pieces: 1, FinishReason: "stop"}}})
 }
 
-// peerClient returns a client of an entry's peer address.
+// peerClient returns a client for the peer address of an entry.
 func peerClient(t *testing.T, address string) wiregen.PeerClient {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -159,8 +159,8 @@
 	return wiregen.NewPeerClient(conn)
 }
 
-// join makes the recorder known to an entry until the test ends.
-func (r *recorder) join(e *instance) {
+// announceTo announces the recorder to an entry every 200 ms until the test ends.
+func (r *recorder) announceTo(e *instance) {
 	client := peerClient(r.t, e.peer)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.t.Cleanup(cancel)
@@ -170,16 +170,16 @@
 			reply, _ := client.Exchange(ctx, &wiregen.ExchangeRequest{
 				Sender: "a-recorder-" + r.region, Region: r.region, Entries: entries,
 			})
-			r.hear(endpointsOf(reply))
+			r.addEndpoints(countEndpoints(reply))
 			time.Sleep(200 * time.Millisecond)
 		}
 	}()
 }
 
-// editedInventory writes a changed copy of the Lunch Club's inventory and returns its path.
+// editedInventory writes an edited copy of the Lunch Club inventory and returns its path.
 func editedInventory(t *testing.T, edit func(map[string]any)) string {
 	t.Helper()
-	b, err := os.ReadFile(lunchClub)
+	b, err := os.ReadFile(lunchClubInventory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,8 +198,8 @@
 	return file
 }
 
-// item returns the item of a list whose name is given.
-func item(m map[string]any, list, name string) map[string]any {
+// findItem returns the item of a list that has the name, or nil if there is none.
+func findItem(m map[string]any, list, name string) map[string]any {
 	for _, v := range m[list].([]any) {
 		if one := v.(map[string]any); one["name"] == name {
 			return one
@@ -208,50 +208,51 @@
 	return nil
 }
 
-// unlabelled takes the labels of Karachi's team away, so that its requests may go anywhere.
-func unlabelled(m map[string]any) { delete(item(m, "teams", "karachi-club"), "labels") }
+// withoutTeamLabels removes the labels of Karachi's team, so that its requests may be served in any region.
+func withoutTeamLabels(m map[string]any) { delete(findItem(m, "teams", "karachi-club"), "labels") }
 
 func TestBoundRequestStaysInItsRegions(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: editedInventory(t, unlabelled)})
+	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: editedInventory(t, withoutTeamLabels)})
 	forbidden := newRecorder(t, "peshawar", "menu-model", "club-desk")
 	lahore := s.entries[0]
-	forbidden.join(lahore)
-	s.until("an unbound request crosses", func() bool {
+	forbidden.announceTo(lahore)
+	s.until("an unrestricted request is served in another region", func() bool {
 		return s.do(http.MethodPost, lahore.caller, chatPath, "karachi-demo-token", planBody).status == http.StatusOK
 	})
 	for range 5 {
 		if a := s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, markedBody); a.status == http.StatusOK {
-			t.Errorf("a bound request without capacity at home was answered: %q", a.body)
+			t.Errorf("a restricted request was answered without capacity in its home region: %q", a.body)
 		}
 		s.do(http.MethodPost, lahore.caller, orderPath, lahoreToken, marker, "Idempotency-Key", "k1")
 	}
-	if forbidden.holds(marker) {
-		t.Error("data of a bound request reached a region that its labels do not allow")
+	if forbidden.contains(marker) {
+		t.Error("data of a restricted request reached a region that its labels do not allow")
 	}
 	allowed := newRecorder(t, "karachi", "menu-model")
-	allowed.join(lahore)
-	s.until("a bound request crosses to an allowed region", func() bool {
+	allowed.announceTo(lahore)
+	s.until("a restricted request is served in an allowed region", func() bool {
 		return s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, markedBody).status == http.StatusOK
 	})
-	if forbidden.holds(marker) || !allowed.holds(marker) {
-		t.Errorf("the marker is in the forbidden region %v, in the allowed one %v", forbidden.holds(marker), allowed.holds(marker))
+	if forbidden.contains(marker) || !allowed.contains(marker) {
+		t.Errorf("the marker reached the forbidden region: %v, the allowed region: %v", forbidden.contains(marker), allowed.contains(marker))
 	}
-	for _, p := range s.all {
-		if strings.Contains(p.logged(), marker) {
-			t.Errorf("the log of %s holds the data of a request", p.name)
+	for _, p := range s.processes {
+		if strings.Contains(p.output(), marker) {
+			t.Errorf("the log of %s contains the data of a request", p.name)
 		}
 	}
 }
 
-// TestResumeStaysInItsRegions ends the only engine at home in the middle of a stream while another region has capacity.
+// TestResumeStaysInItsRegions kills the only engine of the home region during a stream while a forbidden region has
+// capacity: the request must not be resumed there, and no endpoint may be sent to that region.
 func TestResumeStaysInItsRegions(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: editedInventory(t, unlabelled)})
+	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: editedInventory(t, withoutTeamLabels)})
 	forbidden := newRecorder(t, "peshawar", "menu-model")
 	lahore := s.entries[0]
 	engine := s.engine("engine-lahore", "lahore", "menu-model", "dastarkhwan-menu", "--dieAfterTokens", "3")
 	long := strings.Replace(markedBody, `"max_tokens":4`, `"max_tokens":64`, 1)
-	s.until("the engine is known", func() bool { return s.knows(lahore, "engine-lahore") })
-	forbidden.join(lahore)
+	s.until("the engine is known", func() bool { return s.hasEndpoint(lahore, "engine-lahore") })
+	forbidden.announceTo(lahore)
 	s.until("the other region is known", func() bool {
 		a := s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, long)
 		return strings.Contains(a.body, "event: error") || a.status != http.StatusOK
@@ -260,20 +261,20 @@
 	for range 3 {
 		s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, long)
 	}
-	s.until("an unbound request crosses", func() bool {
+	s.until("an unrestricted request is served in another region", func() bool {
 		return s.do(http.MethodPost, lahore.caller, chatPath, "karachi-demo-token", planBody).status == http.StatusOK
 	})
-	if forbidden.holds(marker) {
+	if forbidden.contains(marker) {
 		t.Error("a resumed request reached a region that its labels do not allow")
 	}
-	if n := forbidden.heard(); n > 0 {
-		t.Errorf("another region was told of %d endpoints with their cache events", n)
+	if n := forbidden.endpointCount(); n > 0 {
+		t.Errorf("%d endpoints were sent to another region with their cache events", n)
 	}
 }
 
-// knows reports whether an entry knows an endpoint of its region.
-func (s *system) knows(e *instance, endpoint string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// hasEndpoint reports whether an entry knows an endpoint of its region.
+func (s *system) hasEndpoint(e *instance, endpoint string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	conn, err := grpc.NewClient("passthrough:///"+e.peer, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -288,14 +289,14 @@
 }
 
 func TestArrivalInForbiddenRegionIsRefused(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore", "peshawar"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore", "peshawar"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	peshawar := s.entries[1]
 	s.engine("engine-peshawar", "peshawar", "menu-model", "dastarkhwan-menu")
 	s.service("desk-peshawar", "peshawar", "club-desk")
 	s.until("a plan is answered", func() bool {
 		return s.do(http.MethodPost, peshawar.caller, chatPath, "peshawar-demo-token", planBody).status == http.StatusOK
 	})
-	// An order may have run by an earlier try with its key, of which the forbidden region knows nothing.
+	// An earlier attempt with the same key may have run the order, and the forbidden region has no record of it.
 	for path, want := range map[string]string{chatPath: "notRun", orderPath: "outcomeUnknown"} {
 		a := s.do(http.MethodPost, peshawar.caller, path, lahoreToken, markedBody, "Idempotency-Key", "k2")
 		if code, outcome := a.problemCode(); code != "residencyRefused" || outcome != want {
@@ -304,12 +305,12 @@
 	}
 	a := s.do(http.MethodGet, peshawar.caller, "/v1/entries", lahoreToken, "")
 	if strings.Contains(a.body, peshawar.caller) || !strings.Contains(a.body, s.entries[0].caller) {
-		t.Errorf("a team of lahore was told to use %q", a.body)
+		t.Errorf("a team of lahore was referred to %q", a.body)
 	}
 }
 
 func TestReceiverDecidesWithItsOwnInventory(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	lahore := s.entries[0]
 	s.engine("engine-lahore", "lahore", "menu-model", "dastarkhwan-menu")
 	s.until("a plan is answered", func() bool {
@@ -317,7 +318,7 @@
 	})
 	client := peerClient(t, lahore.peer)
 	forward := func(team string, revision int64, labels ...string) string {
-		ctx, cancel := context.WithTimeout(t.Context(), callLimit)
+		ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 		defer cancel()
 		frames, err := client.Forward(ctx, &wiregen.ForwardRequest{
 			CorrelationId: "forwarded", Team: team, RequestClass: "plan", Labels: labels, Service: "menu-model", Model: "dastarkhwan-menu",
@@ -350,9 +351,9 @@
 	check("sender newer, label unknown to the receiver", forward("karachi-club", 9, "karachi-diet-records", "new-label"), "residencyRefused")
 	check("sender newer, team unknown to the receiver", forward("new-club", 9), "residencyRefused")
 	s.apply(editedInventory(t, func(m map[string]any) {
-		item(m, "labels", "karachi-diet-records")["allowedRegions"] = []string{"karachi"}
+		findItem(m, "labels", "karachi-diet-records")["allowedRegions"] = []string{"karachi"}
 	}))
-	s.until("the receiver refuses by its newer rule", func() bool {
+	s.until("the receiver refuses by its newer inventory", func() bool {
 		return forward("karachi-club", 1, "karachi-diet-records") == "residencyRefused"
 	})
 	check("sender older, label left out", forward("karachi-club", 1), "residencyRefused")
--- a/systemtest/restart_test.go
+++ b/systemtest/restart_test.go
@@ -13,20 +13,20 @@
 )
 
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
-	s := voters(t, 1)
+	s := newVoterSystem(t, 1)
 	const changes = 300
-	// keptLimit is the number of entries after which the voters take a snapshot.
-	const keptLimit = 40
+	// maxEntries is the number of entries after which the voters take a snapshot.
+	const maxEntries = 40
 	leader := s.leader()
-	away := s.otherControls(leader)[0]
-	away.kill()
+	killed := s.otherControls(leader)[0]
+	killed.kill()
 	for i := 1; i <= changes; i++ {
 		a := s.do(http.MethodPost, leader.operator, "/v1/inventory", operatorToken, applyBody(t, fmt.Sprint("change-", i), i))
 		if a.status != http.StatusOK {
 			t.Fatalf("change %d: %d %s", i, a.status, a.body)
 		}
 	}
-	for _, c := range s.otherControls(away) {
+	for _, c := range s.otherControls(killed) {
 		c.kill()
 	}
 	for _, c := range s.controls {
@@ -35,18 +35,19 @@
 	if m := s.leader(); m == nil || s.status().Revision != fmt.Sprint(changes+1) {
 		t.Fatalf("after the restart: %+v", s.status())
 	}
-	s.otherControls(away)[0].kill()
+	s.otherControls(killed)[0].kill()
 	s.mustChange("change-7", 7)
 	s.mustChange("after", changes+1)
-	s.inForce(changes + 2)
+	s.waitInForce(changes + 2)
 	leader.kill()
-	if n := leader.keptEntries(); n > keptLimit {
+	if n := leader.journalEntries(); n > maxEntries {
 		t.Errorf("the journal has %d entries and was not compacted", n)
 	}
 }
 
-// keptEntries returns the number of entries in the journal of a voter that has ended, of which it must have a snapshot.
-func (p *process) keptEntries() int {
+// journalEntries returns the number of entries in the journal of a voter that has ended. The journal must contain a
+// snapshot.
+func (p *process) journalEntries() int {
 	p.t.Helper()
 	folder, err := journal.OpenFolder(p.args[slices.Index(p.args, "--dataFolder")+1])
 	if err != nil {
--- a/systemtest/shutdown_test.go
+++ b/systemtest/shutdown_test.go
@@ -14,7 +14,8 @@
 
 const dishBody = `{"model":"dish-check","max_tokens":1,"messages":[{"role":"user","content":"salt?"}]}`
 
-// underLoad sends streams, whole answers and calls to the entries until the work is done, and checks that none was cut.
+// underLoad sends streamed requests, non-streamed requests and calls to the entries until work returns, and checks that
+// all of them were answered completely.
 func (s *system) underLoad(work func()) {
 	s.t.Helper()
 	var seeds []string
@@ -22,29 +23,29 @@
 		seeds = append(seeds, e.caller)
 	}
 	base := load.Mix{Token: lahoreToken, Model: "dastarkhwan-menu", PerSecond: 20, Count: 20, MaxTokens: 256}
-	streams, whole, calls := base, base, base
+	streams, nonStreaming, calls := base, base, base
 	streams.Name, streams.Stream = "streams", true
-	whole.Name = "whole"
+	nonStreaming.Name = "whole"
 	calls.Name, calls.Model, calls.Service, calls.Class = "calls", "", "club-desk", "order"
-	away := streams
-	away.Name, away.Model = "away", "dish-check"
-	mixes := []load.Mix{streams, whole, calls, away}
+	remote := streams
+	remote.Name, remote.Model = "away", "dish-check"
+	mixes := []load.Mix{streams, nonStreaming, calls, remote}
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-		sums := make([]load.Result, len(mixes))
+		totals := make([]load.Result, len(mixes))
 		for i, m := range mixes {
-			sums[i] = load.NewResult(m.Name)
+			totals[i] = load.NewResult(m.Name)
 		}
 		for seed := uint64(1); ; seed++ {
 			cfg := load.Config{Entries: seeds, Discover: true, Seed: seed, KeyPrefix: "roll", Mixes: mixes}
 			for i, r := range load.Run(s.t.Context(), cfg, client) {
-				sums[i] = sums[i].Merge(r)
+				totals[i] = totals[i].Merge(r)
 			}
 			select {
 			case <-done:
-				s.checkWhole(sums)
+				s.checkResults(totals)
 				return
 			default:
 			}
@@ -55,14 +56,14 @@
 	wg.Wait()
 }
 
-// checkWhole fails the test if a request was cut, refused or answered wrong.
-func (s *system) checkWhole(results []load.Result) {
+// checkResults fails the test if a request was truncated, refused or answered incorrectly.
+func (s *system) checkResults(results []load.Result) {
 	for _, r := range results {
 		var b bytes.Buffer
 		_ = r.WriteTable(&b)
 		s.t.Log(b.String())
 		if r.Whole != r.Sent {
-			s.t.Errorf("mix %s: %d of %d requests were answered whole, %d wrong, failed %v", r.Mix, r.Whole, r.Sent, r.Wrong, r.Failed)
+			s.t.Errorf("mix %s: %d of %d requests were answered completely, %d incorrectly, failed: %v", r.Mix, r.Whole, r.Sent, r.Wrong, r.Failed)
 		}
 	}
 }
@@ -72,7 +73,7 @@
 	s := newSystem(t, options{
 		regions:          []string{"lahore", "karachi", "peshawar"},
 		entriesPerRegion: 3,
-		inventory:        lunchClub,
+		inventory:        lunchClubInventory,
 		entryArgs:        []string{"--drainNotice", "1500ms", "--announcementLease", "1s"},
 	})
 	for _, name := range []string{"engine-a", "engine-b"} {
@@ -88,7 +89,7 @@
 		for _, e := range s.entries[:3] {
 			a := s.do(http.MethodPost, e.caller, orderPath, lahoreToken, "warm", "Idempotency-Key", "warm-"+e.name)
 			dish := s.do(http.MethodPost, e.caller, chatPath, lahoreToken, dishBody)
-			if !s.plans(e, lahoreToken) || a.status != http.StatusOK || dish.status != http.StatusOK {
+			if !s.answersPlan(e, lahoreToken) || a.status != http.StatusOK || dish.status != http.StatusOK {
 				return false
 			}
 		}
@@ -116,7 +117,7 @@
 	})
 }
 
-// serves reports whether the entries of an endpoint's region use it.
+// serves reports whether an endpoint of a plain service responds, or an engine has received a request.
 func (s *system) serves(e *instance) bool {
 	if s.get(e.caller, "/ran", "") == http.StatusOK {
 		return true
@@ -124,9 +125,9 @@
 	return s.counts(e).Requests > 0
 }
 
-// TestEngineKilledUnderLoad kills one of two engines and starts it again, under load and the default rules.
+// TestEngineKilledUnderLoad kills and restarts each of two engines in turn, under load and with the default rules.
 func TestEngineKilledUnderLoad(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	for _, name := range []string{"engine-a", "engine-b"} {
 		s.engine(name, "lahore", "menu-model", "dastarkhwan-menu", "--slots", "32", "--tokenTime", "10ms")
 	}
@@ -136,7 +137,7 @@
 		e := s.entries[0]
 		order := s.do(http.MethodPost, e.caller, orderPath, lahoreToken, "warm", "Idempotency-Key", "warm")
 		dish := s.do(http.MethodPost, e.caller, chatPath, lahoreToken, dishBody)
-		return s.plans(e, lahoreToken) && dish.status == http.StatusOK && order.status == http.StatusOK
+		return s.answersPlan(e, lahoreToken) && dish.status == http.StatusOK && order.status == http.StatusOK
 	})
 	s.underLoad(func() {
 		time.Sleep(time.Second)
@@ -148,20 +149,21 @@
 	})
 }
 
-// TestDrain stops an entry in mid-stream, twice: the stream is whole, and new requests are refused as not run.
+// TestDrain sends SIGTERM twice to an entry during a stream: the stream must be complete, and new requests must be
+// refused with the outcome notRun.
 func TestDrain(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	lahore := s.entries[0]
 	s.engine("engine-a", "lahore", "menu-model", "dastarkhwan-menu", "--tokenTime", "50ms")
-	s.until("a plan is answered", func() bool { return s.plans(lahore, lahoreToken) })
-	lines, body := s.openStream(t.Context(), lahore, lahoreToken, longPlan)
+	s.until("a plan is answered", func() bool { return s.answersPlan(lahore, lahoreToken) })
+	lines, body := s.openStream(t.Context(), lahore, lahoreToken, longPlanBody)
 	defer body.Close()
 	lahore.signal(syscall.SIGTERM)
-	s.until("the entry says that it is leaving", func() bool {
+	s.until("the entry reports that it is leaving", func() bool {
 		a := s.do(http.MethodGet, lahore.caller, "/readyz", "", "")
 		return a.status == http.StatusServiceUnavailable && strings.Contains(a.body, `"leaving":true`)
 	})
-	var a answer
+	var a response
 	s.until("new requests are refused", func() bool {
 		a = s.do(http.MethodPost, lahore.caller, chatPath, lahoreToken, planBody)
 		return a.status == http.StatusServiceUnavailable
@@ -170,9 +172,9 @@
 		t.Errorf("code %q, outcome %q, header %v", code, outcome, a.header)
 	}
 	lahore.signal(syscall.SIGTERM)
-	answer := rest(lines)
-	if got, whole := streamText(answer); !whole || got != wantPlan(longPlan) {
-		t.Errorf("whole %v, answer %q", whole, answer)
+	response := readRemaining(lines)
+	if got, complete := streamText(response); !complete || got != expectedText(longPlanBody) {
+		t.Errorf("complete: %v, answer: %q", complete, response)
 	}
 	<-lahore.done
 	if code := lahore.cmd.ProcessState.ExitCode(); code != 0 {
--- a/systemtest/streams_test.go
+++ b/systemtest/streams_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	longPlan = `{"model":"dastarkhwan-menu","max_tokens":200,"stream":true,"messages":[{"role":"user","content":"plan the whole week for forty elders"}]}`
+	longPlanBody = `{"model":"dastarkhwan-menu","max_tokens":200,"stream":true,"messages":[{"role":"user","content":"plan the whole week for forty elders"}]}`
 )
 
-// wantPlan returns the text that an engine gives to a plan.
-func wantPlan(body string) string {
+// expectedText returns the text that an emulated engine generates for a plan.
+func expectedText(body string) string {
 	r, _ := completion.Decode(completion.Chat, []byte(body))
 	return standin.Answer(r.Model, r.Prompt, r.MaxTokens)
 }
 
-// streamText returns the text of a streamed answer, and whether it has its end mark.
+// streamText returns the text of a streamed answer, and whether the stream ends with the [DONE] event.
 func streamText(body string) (string, bool) {
 	var b strings.Builder
 	for line := range strings.Lines(body) {
@@ -41,7 +41,8 @@
 	return b.String(), false
 }
 
-// openStream starts a streamed plan and returns its lines after the first piece was received.
+// openStream sends a request for a streamed plan and returns a scanner over its lines once the response header has
+// arrived.
 func (s *system) openStream(ctx context.Context, e *instance, token, body string) (*bufio.Scanner, io.Closer) {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.caller+chatPath, strings.NewReader(body))
@@ -59,8 +60,8 @@
 	return bufio.NewScanner(resp.Body), resp.Body
 }
 
-// rest returns the lines of a stream up to its end.
-func rest(lines *bufio.Scanner) string {
+// readRemaining returns the remaining lines of a stream.
+func readRemaining(lines *bufio.Scanner) string {
 	var b strings.Builder
 	for lines.Scan() {
 		b.WriteString(lines.Text() + "\n")
@@ -68,62 +69,64 @@
 	return b.String()
 }
 
-// counts returns what an emulated engine has done.
+// counts returns the counters of an emulated engine.
 func (s *system) counts(e *instance) standin.Counts {
 	var c standin.Counts
 	_ = json.Unmarshal([]byte(s.do(http.MethodGet, e.caller, "/counts", "", "").body), &c)
 	return c
 }
 
-// plans reports whether the entry answers a plan of one token.
-func (s *system) plans(e *instance, token string) bool {
+// answersPlan reports whether an entry answers a plan of one token.
+func (s *system) answersPlan(e *instance, token string) bool {
 	body := strings.Replace(planBody, `"max_tokens":4`, `"max_tokens":1`, 1)
 	return s.do(http.MethodPost, e.caller, chatPath, token, body).status == http.StatusOK
 }
 
-// TestEngineKilledInStream kills the engine of a stream; the caller receives the whole answer all the same.
+// TestEngineKilledInStream kills the engine of a stream. Another engine must resume the answer, so that the caller
+// receives all of it.
 func TestEngineKilledInStream(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	lahore := s.entries[0]
 	first := s.engine("engine-a", "lahore", "menu-model", "dastarkhwan-menu", "--tokenTime", "100ms")
-	s.until("a plan is answered", func() bool { return s.plans(lahore, lahoreToken) })
-	lines, body := s.openStream(t.Context(), lahore, lahoreToken, longPlan)
+	s.until("a plan is answered", func() bool { return s.answersPlan(lahore, lahoreToken) })
+	lines, body := s.openStream(t.Context(), lahore, lahoreToken, longPlanBody)
 	defer body.Close()
 	second := s.engine("engine-b", "lahore", "menu-model", "dastarkhwan-menu", "--tokenTime", "5ms")
 	s.until("the second engine is used", func() bool {
-		return s.plans(lahore, lahoreToken) && s.counts(second).Requests > 0
+		return s.answersPlan(lahore, lahoreToken) && s.counts(second).Requests > 0
 	})
 	first.kill()
-	answer := rest(lines)
-	if got, whole := streamText(answer); !whole || got != wantPlan(longPlan) {
-		t.Errorf("whole %v, answer %q", whole, answer)
+	streamed := readRemaining(lines)
+	if got, complete := streamText(streamed); !complete || got != expectedText(longPlanBody) {
+		t.Errorf("complete: %v, answer: %q", complete, streamed)
 	}
 	if s.counts(second).Resumed != 1 {
 		t.Errorf("the second engine resumed %d answers", s.counts(second).Resumed)
 	}
 }
 
-// TestForwardedStream cuts a stream that another region serves: by its caller, and by the death of the other entry.
+// TestForwardedStream interrupts a stream that another region serves: once by its caller, and once by killing the entry
+// of that region.
 func TestForwardedStream(t *testing.T) {
-	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClub})
+	s := newSystem(t, options{regions: []string{"lahore", "karachi"}, entriesPerRegion: 1, inventory: lunchClubInventory})
 	lahore, karachi := s.entries[0], s.entries[1]
 	engine := s.engine("engine-karachi", "karachi", "menu-model", "dastarkhwan-menu", "--tokenTime", "50ms")
-	s.until("a plan is answered in another region", func() bool { return s.plans(lahore, lahoreToken) })
+	s.until("a plan is answered in another region", func() bool { return s.answersPlan(lahore, lahoreToken) })
 
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
-	lines, body := s.openStream(ctx, lahore, lahoreToken, longPlan)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	lines, body := s.openStream(ctx, lahore, lahoreToken, longPlanBody)
 	lines.Scan()
-	leave()
+	cancel()
 	body.Close()
-	s.until("the engine gives the request up", func() bool { return s.counts(engine).Cancelled == 1 })
+	s.until("the engine cancels the request", func() bool { return s.counts(engine).Cancelled == 1 })
 
-	lines, body = s.openStream(t.Context(), lahore, lahoreToken, longPlan)
+	lines, body = s.openStream(t.Context(), lahore, lahoreToken, longPlanBody)
 	defer body.Close()
 	lines.Scan()
 	karachi.kill()
-	answer := rest(lines)
-	if _, whole := streamText(answer); whole || !strings.Contains(answer, "event: error\n") {
-		t.Errorf("the stream did not end with an error: %q", answer)
+	streamed := readRemaining(lines)
+	if _, complete := streamText(streamed); complete || !strings.Contains(streamed, "event: error\n") {
+		t.Errorf("the stream did not end with an error: %q", streamed)
 	}
 }
