--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestUses(t *testing.T) {
+func TestUsageEstimator(t *testing.T) {
 	k := UsageKey{Team: "lahore-club", Class: "plan", Model: "dastarkhwan-menu"}
 	u := NewUsageEstimator()
 	if got := u.Quantile(k, 0.9, 1024); got != 1024 {
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestAudit(t *testing.T) {
+func TestRefusalAudit(t *testing.T) {
 	a := &RefusalAudit{}
 	a.Refused(100, 50, start.Add(time.Minute))
 	a.Refused(100, 50, start.Add(time.Second))
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRoom lets holders acquire and release bytes and checks the bounds of all of them.
-func TestRoom(t *testing.T) {
+// TestMemoryBudget lets holders acquire and release bytes and checks the bounds of all of them.
+func TestMemoryBudget(t *testing.T) {
 	holders := []Holder{{Team: "a"}, {Team: "b"}, {Team: "a", Deferrable: true}, {Team: "b", Deferrable: true}}
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 900
--- a/calls/group.go
+++ b/calls/group.go
@@ -11,21 +11,21 @@
 // replicaTimeout is the time limit of one request to a ledger replica.
 const replicaTimeout = time.Second
 
-// Link sends a request to the replica in a slot and returns its reply.
-type Link interface {
+// Transport sends a request to the replica in a slot and returns its reply.
+type Transport interface {
 	Handle(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error)
 }
 
 // Group is the client of a region's ledger replicas.
 type Group struct {
-	name  string
-	slots []string
-	link  Link
+	name      string
+	slots     []string
+	transport Transport
 }
 
 // NewGroup returns a group of the replicas in the slots. Every instance of the region must use the same slots.
-func NewGroup(slots []string, link Link) *Group {
-	return &Group{name: ledger.Group(slots), slots: slots, link: link}
+func NewGroup(slots []string, transport Transport) *Group {
+	return &Group{name: ledger.Group(slots), slots: slots, transport: transport}
 }
 
 // Name returns the name of the replica set.
@@ -47,7 +47,7 @@
 	var wg sync.WaitGroup
 	for _, slot := range g.slots {
 		wg.Go(func() {
-			if reply, err := g.link.Handle(ctx, slot, m); err == nil {
+			if reply, err := g.transport.Handle(ctx, slot, m); err == nil {
 				replies <- reply
 			}
 		})
@@ -78,5 +78,5 @@
 func (g *Group) queryOne(ctx context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
-	return g.link.Handle(ctx, slot, m)
+	return g.transport.Handle(ctx, slot, m)
 }
--- a/calls/keeper.go
+++ b/calls/reconciler.go
@@ -19,26 +19,26 @@
 	steadyPeriod = 2 * time.Second
 )
 
-// Keeper keeps a replica an active member of its group: it recovers a lost memory, adopts the epoch of the majority or
-// founds a new epoch. It also deletes expired records.
-type Keeper struct {
+// Reconciler keeps a replica an active member of its group: it recovers a lost memory, adopts the epoch of the
+// majority or founds a new epoch. It also deletes expired records.
+type Reconciler struct {
 	replica *Replica
 	group   *Group
 	log     zerolog.Logger
 }
 
-// NewKeeper returns a keeper for the replica.
-func NewKeeper(r *Replica, g *Group, log zerolog.Logger) *Keeper {
-	return &Keeper{replica: r, group: g, log: log}
+// NewReconciler returns a reconciler for the replica.
+func NewReconciler(replica *Replica, group *Group, log zerolog.Logger) *Reconciler {
+	return &Reconciler{replica: replica, group: group, log: log}
 }
 
 // Run reconciles the replica with its group periodically until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (r *Reconciler) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.reconcile(ctx)
-		k.replica.update(func(now time.Time, l *ledger.Replica) { l.Expire(now) })
+		r.reconcile(ctx)
+		r.replica.update(func(now time.Time, l *ledger.Replica) { l.Expire(now) })
 		period := joinPeriod
-		if k.replica.Status(k.group.name).Active {
+		if r.replica.Status(r.group.name).Active {
 			period = steadyPeriod
 		}
 		select {
@@ -49,60 +49,60 @@
 }
 
 // reconcile gets the statuses of all replicas and carries out the step that they call for.
-func (k *Keeper) reconcile(ctx context.Context) {
-	statuses := k.group.queryAll(ctx, ledger.Request{Op: ledger.OpStatus, Group: k.group.name})
+func (r *Reconciler) reconcile(ctx context.Context) {
+	statuses := r.group.queryAll(ctx, ledger.Request{Op: ledger.OpStatus, Group: r.group.name})
 	for slot, status := range statuses {
 		if status.Refusal == ledger.RefusedGroup {
-			k.log.Error().Str("replica", slot).Str("group", k.group.name).Msg("ledger replica sets differ")
+			r.log.Error().Str("replica", slot).Str("group", r.group.name).Msg("ledger replica sets differ")
 			delete(statuses, slot)
 		}
 	}
-	plan := ledger.Next(k.replica.slot, k.group.Len(), statuses)
+	plan := ledger.Next(r.replica.slot, r.group.Len(), statuses)
 	switch plan.Step {
 	case ledger.StepAdopt:
-		k.replica.update(func(_ time.Time, l *ledger.Replica) { l.Adopt(plan.Epoch) })
-		k.log.Warn().Str("epoch", plan.Epoch).Msg("ledger epoch adopted")
+		r.replica.update(func(_ time.Time, l *ledger.Replica) { l.Adopt(plan.Epoch) })
+		r.log.Warn().Str("epoch", plan.Epoch).Msg("ledger epoch adopted")
 	case ledger.StepRecover:
-		k.recoverMemory(ctx, plan)
+		r.recoverMemory(ctx, plan)
 	case ledger.StepFound:
-		k.foundEpoch(ctx, statuses)
+		r.foundEpoch(ctx, statuses)
 	default:
 	}
 }
 
 // recoverMemory reads the records of the replicas in the plan and makes the replica active. It gives up if one of them
 // refuses or does not answer.
-func (k *Keeper) recoverMemory(ctx context.Context, plan ledger.Plan) {
+func (r *Reconciler) recoverMemory(ctx context.Context, plan ledger.Plan) {
 	var replies []ledger.Reply
 	for _, slot := range plan.From {
-		pages, ok := k.readPages(ctx, slot, plan)
+		pages, ok := r.readPages(ctx, slot, plan)
 		if !ok {
 			return
 		}
 		replies = append(replies, pages...)
 	}
 	recovered := false
-	k.replica.update(func(now time.Time, l *ledger.Replica) {
+	r.replica.update(func(now time.Time, l *ledger.Replica) {
 		recovered = l.Recover(now, plan.Epoch, plan.Incarnation, replies)
 	})
 	if !recovered {
 		return
 	}
-	k.log.Warn().
+	r.log.Warn().
 		Str("epoch", plan.Epoch).
 		Int64("incarnation", plan.Incarnation).
 		Strs("from", plan.From).
-		Int("calls", k.replica.Len()).
+		Int("calls", r.replica.Len()).
 		Msg("ledger replica recovered")
 }
 
 // readPages reads all records of one replica; ok is false if the replica refused or did not answer.
-func (k *Keeper) readPages(ctx context.Context, slot string, plan ledger.Plan) (pages []ledger.Reply, ok bool) {
+func (r *Reconciler) readPages(ctx context.Context, slot string, plan ledger.Plan) (pages []ledger.Reply, ok bool) {
 	m := ledger.Request{
-		Op: ledger.OpRecover, Group: k.group.name, Epoch: plan.Epoch, Slot: k.replica.slot, Incarnation: plan.Incarnation,
+		Op: ledger.OpRecover, Group: r.group.name, Epoch: plan.Epoch, Slot: r.replica.slot, Incarnation: plan.Incarnation,
 	}
 	for {
-		reply, err := k.group.queryOne(ctx, slot, m)
+		reply, err := r.group.queryOne(ctx, slot, m)
 		if err != nil || reply.Refusal != ledger.Accepted {
 			return nil, false
 		}
@@ -116,14 +116,14 @@
 
 // foundEpoch proposes a new epoch to the replicas that answered, and opens it at those that accepted if they are a
 // majority.
-func (k *Keeper) foundEpoch(ctx context.Context, statuses map[string]ledger.Reply) {
+func (r *Reconciler) foundEpoch(ctx context.Context, statuses map[string]ledger.Reply) {
 	epoch := rand.Text()
 	var accepted []string
 	withoutMemory := 0
 	for _, slot := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[slot]
-		reply, err := k.group.queryOne(ctx, slot, ledger.Request{
-			Op: ledger.OpFound, Group: k.group.name, Epoch: epoch, Nonce: status.Nonce,
+		reply, err := r.group.queryOne(ctx, slot, ledger.Request{
+			Op: ledger.OpFound, Group: r.group.name, Epoch: epoch, Nonce: status.Nonce,
 		})
 		if err == nil && reply.Refusal == ledger.Accepted {
 			accepted = append(accepted, slot)
@@ -132,15 +132,15 @@
 			withoutMemory++
 		}
 	}
-	if len(accepted) < ledger.Quorum(k.group.Len()) {
+	if len(accepted) < ledger.Quorum(r.group.Len()) {
 		return
 	}
 	for _, slot := range accepted {
-		_, _ = k.group.queryOne(ctx, slot, ledger.Request{
-			Op: ledger.OpOpen, Group: k.group.name, Epoch: epoch, Nonce: statuses[slot].Nonce,
+		_, _ = r.group.queryOne(ctx, slot, ledger.Request{
+			Op: ledger.OpOpen, Group: r.group.name, Epoch: epoch, Nonce: statuses[slot].Nonce,
 		})
 	}
-	k.log.Warn().
+	r.log.Warn().
 		Str("epoch", epoch).
 		Strs("replicas", accepted).
 		Int("withoutMemory", withoutMemory).
--- a/calls/keeper_test.go
+++ b/calls/reconciler_test.go
@@ -10,8 +10,8 @@
 	"arbutusreel/ledger"
 )
 
-// delayedOpen is a link that delays the request to replica b to open an epoch until b has announced its recovery to
-// replica a, and the reply to that announcement until b is active.
+// delayedOpen is a transport that delays the request to replica b to open an epoch until b has announced its recovery
+// to replica a, and the reply to that announcement until b is active.
 type delayedOpen struct {
 	localReplicas
 	announced chan struct{}
@@ -36,32 +36,32 @@
 // recovers into it.
 func TestOpenedWhileRecovering(t *testing.T) {
 	g := localReplicas{}
-	link := &delayedOpen{localReplicas: g, announced: make(chan struct{})}
-	group := NewGroup([]string{"a", "b"}, link)
-	keepers := map[string]*Keeper{}
+	transport := &delayedOpen{localReplicas: g, announced: make(chan struct{})}
+	group := NewGroup([]string{"a", "b"}, transport)
+	reconcilers := map[string]*Reconciler{}
 	for _, slot := range group.Slots() {
 		r := ledger.NewReplica(slot, group.Name(), slot, ledger.Limits{Retention: time.Hour, MaxCalls: 10})
 		g[slot] = NewReplica(slot, r, nil, time.Now, nil)
-		keepers[slot] = NewKeeper(g[slot], group, zerolog.Nop())
+		reconcilers[slot] = NewReconciler(g[slot], group, zerolog.Nop())
 	}
 	opened := make(chan struct{})
 	go func() {
 		defer close(opened)
 		for !g["a"].Status(group.Name()).Active || !g["b"].Status(group.Name()).Active {
-			keepers["a"].reconcile(t.Context())
+			reconcilers["a"].reconcile(t.Context())
 		}
 	}()
 	for !g["a"].Status(group.Name()).Active {
 		time.Sleep(time.Millisecond)
 	}
-	keepers["b"].reconcile(t.Context())
+	reconcilers["b"].reconcile(t.Context())
 	<-opened
-	keepers["b"].reconcile(t.Context())
+	reconcilers["b"].reconcile(t.Context())
 	epoch := g["a"].Status(group.Name()).Epoch
 	x := New("a", group, &countingSender{}, nil, time.Hour, zerolog.Nop(), time.Now)
 	a := x.claim(t.Context(), epoch,
 		ledger.Record{Key: ledger.Key{Key: "k"}, Attempt: "first", Lease: time.Minute}, time.Now())
 	if !a.Claimed() {
-		t.Errorf("the group takes no call: %+v", a.Seen())
+		t.Errorf("the group takes no call: %+v", a.ClaimReplies())
 	}
 }
--- a/calls/runner.go
+++ b/calls/runner.go
@@ -73,11 +73,11 @@
 //
 // A call that was claimed continues after ctx ends, and its ending is recorded.
 func (x *Runner) Run(ctx context.Context, r dispatch.Request) (dispatch.Reply, error) {
-	return x.RunThen(ctx, r, func() {})
+	return x.RunNotify(ctx, r, func() {})
 }
 
-// RunThen is like Run, and calls ended once the call is over and the attempt to record its ending has finished.
-func (x *Runner) RunThen(ctx context.Context, r dispatch.Request, ended func()) (dispatch.Reply, error) {
+// RunNotify is like Run, and calls ended once the call is over and the attempt to record its ending has finished.
+func (x *Runner) RunNotify(ctx context.Context, r dispatch.Request, ended func()) (dispatch.Reply, error) {
 	if err := x.validate(r); err != nil {
 		ended()
 		return dispatch.Reply{}, err
@@ -131,7 +131,7 @@
 	x.logClaim(r, a)
 	if !a.Claimed() {
 		x.runPhase(ctx, a)
-		done <- x.resolveLostClaim(ctx, call, a.Seen())
+		done <- x.resolveLostClaim(ctx, call, a.ClaimReplies())
 		return
 	}
 	r.Claimed, r.SendBy = true, start.Add(sendWindow)
@@ -150,7 +150,7 @@
 			return a
 		}
 		if verdict, _ := ledger.Judge(
-			x.now(), x.group.Len(), call.Attempt, call.Digest, a.Seen(),
+			x.now(), x.group.Len(), call.Attempt, call.Digest, a.ClaimReplies(),
 		); verdict != ledger.Unavailable {
 			return a
 		}
@@ -164,7 +164,7 @@
 		Str("service", r.Service).
 		Str("attempt", a.Call().Attempt).
 		Bool("claimed", a.Claimed()).
-		Int("replies", len(a.Seen())).
+		Int("replies", len(a.ClaimReplies())).
 		Msg("claim")
 }
 
@@ -304,7 +304,7 @@
 		return result{err: inDoubt()}
 	case ledger.Stale:
 		return result{err: stale()}
-	case ledger.NoRoom:
+	case ledger.Full:
 		return result{err: ledgerFull()}
 	default:
 		return result{err: unavailable()}
--- a/calls/runner_test.go
+++ b/calls/runner_test.go
@@ -16,7 +16,7 @@
 	"arbutusreel/ledger"
 )
 
-// localReplicas is a link to replicas in the same process, by slot.
+// localReplicas is a transport to replicas in the same process, by slot.
 type localReplicas map[string]*Replica
 
 func (g localReplicas) Handle(_ context.Context, slot string, m ledger.Request) (ledger.Reply, error) {
--- a/capacity/choose_test.go
+++ b/capacity/choose_test.go
@@ -277,9 +277,9 @@
 	}
 }
 
-// TestReturned checks that a request whose wait is three times its objective is refused at first and admitted when it
+// TestRetried checks that a request whose wait is three times its objective is refused at first and admitted when it
 // is retried.
-func TestReturned(t *testing.T) {
+func TestRetried(t *testing.T) {
 	first := TimeBudget{Objective: 800 * time.Millisecond, RouteObjective: 800 * time.Millisecond, Remaining: 10 * time.Second}
 	again := first
 	again.Remaining = 9 * time.Second
@@ -290,9 +290,9 @@
 	}
 }
 
-// TestCross forwards a burst to the idle one of two regions until the capacity that it reported is used up, and nothing
-// to a region whose report is stale, that has no endpoints or that costs no less.
-func TestCross(t *testing.T) {
+// TestChooseRegion forwards a burst to the idle one of two regions until the capacity that it reported is used up, and
+// nothing to a region whose report is stale, that has no endpoints or that costs no less.
+func TestChooseRegion(t *testing.T) {
 	const roundTrip = 160 * time.Millisecond
 	w := Work{PromptTokens: 1000, OutputTokens: 300}
 	idle := RegionCapacity{Region: "idle", Wait: waits(60 * time.Millisecond), PromptTokens: 10_000, Endpoints: 2}
--- a/capacity/recent.go
+++ b/capacity/recent.go
@@ -15,8 +15,8 @@
 	at     time.Time
 }
 
-// NewRecent returns a sum of tokens at the time at.
-func NewRecent(at time.Time, tokens float64) RecentTokens {
+// NewRecentTokens returns a sum of tokens at the time at.
+func NewRecentTokens(at time.Time, tokens float64) RecentTokens {
 	return RecentTokens{tokens: tokens, at: at}
 }
 
--- a/cmd/arbutusreel/errors.go
+++ b/cmd/arbutusreel/errors.go
@@ -55,14 +55,14 @@
 	return fmt.Sprintf("repair %q: want list, or settle with --team, --key, --finding and --operator", e.Action)
 }
 
-// NoDecisionError reports that no instance that answered holds a decision about the subject. Silent holds the addresses
-// of the instances that did not answer.
+// NoDecisionError reports that no instance that answered holds a decision about the subject. Unreachable holds the
+// addresses of the instances that did not answer.
 type NoDecisionError struct {
-	Subject decision.Subject
-	Silent  []string
+	Subject     decision.Subject
+	Unreachable []string
 }
 
 // Error returns a message with the subject and the instances that did not answer.
 func (e *NoDecisionError) Error() string {
-	return fmt.Sprintf("no decision is kept for %s %q; no answer from %q", e.Subject.Kind, e.Subject.Name, e.Silent)
+	return fmt.Sprintf("no decision is kept for %s %q; no answer from %q", e.Subject.Kind, e.Subject.Name, e.Unreachable)
 }
--- a/cmd/arbutusreel/explain.go
+++ b/cmd/arbutusreel/explain.go
@@ -45,12 +45,12 @@
 	}
 	explanation := c.Explain(ctx, subject, addresses)
 	if len(explanation.Lines) == 0 {
-		return &NoDecisionError{Subject: subject, Silent: explanation.Silent}
+		return &NoDecisionError{Subject: subject, Unreachable: explanation.Unreachable}
 	}
 	for _, text := range explanation.Lines {
 		fmt.Fprintln(stdout, text)
 	}
-	for _, address := range explanation.Silent {
+	for _, address := range explanation.Unreachable {
 		fmt.Fprintf(stdout, "no answer from %s; decisions may be missing\n", address)
 	}
 	return nil
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -48,8 +48,8 @@
 	for i := range min(count, maxSeeds) {
 		seed := first + i
 		o := soak.Options{
-			Program: program, Dir: filepath.Join(dir, fmt.Sprint(seed)), Seed: uint64(seed), First: 1 + seed%maxSeeds, Recovery: recoveryTimeout,
-			Faults: time.Duration(seconds * float64(time.Second)), Controls: sizes.Controls, Gateways: sizes.Gateways,
+			Program: program, Dir: filepath.Join(dir, fmt.Sprint(seed)), Seed: uint64(seed), Subnet: 1 + seed%maxSeeds, RecoveryTimeout: recoveryTimeout,
+			FaultDuration: time.Duration(seconds * float64(time.Second)), Controls: sizes.Controls, Gateways: sizes.Gateways,
 			Endpoints: sizes.Endpoints, Callers: sizes.Callers,
 		}
 		checker, err := soak.Run(context.Background(), o)
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -167,7 +167,7 @@
 	disconnectedAt := map[string]int64{}
 	for _, r := range results {
 		for _, m := range r.Mixes {
-			for id, at := range m.Left {
+			for id, at := range m.AbandonedAt {
 				disconnectedAt[id] = at
 			}
 		}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -106,7 +106,7 @@
 	sub.Duration(&e.PrefillTime, "", "prefillTime", "Prefill time per uncached prompt token.")
 	sub.Int(&e.CacheBlocks, "", "cacheBlocks", "Capacity of the prefix cache in blocks.")
 	sub.Duration(&e.CacheEventDelay, "", "cacheEventDelay", "Delay between a cache event and its announcement.")
-	sub.Float64(&e.CacheEventGap, "", "cacheEventGap", "Share of announcements whose cache events are lost.")
+	sub.Float64(&e.CacheEventLossShare, "", "cacheEventGap", "Share of announcements whose cache events are lost.")
 	sub.Duration(&e.ReportLag, "", "reportLag", "Age of the load report in an announcement.")
 	sub.Float64(&e.KVBytesPerSecond, "", "kvBytesPerSecond", "Bandwidth of KV cache transfers in bytes per second.")
 	sub.Bool(&e.ChecksFencing, "", "checksFencing", "Refuses orders with stale fencing tokens.")
--- a/configuration/history.go
+++ b/configuration/history.go
@@ -54,7 +54,7 @@
 func (h *History) Records() []Record { return slices.Clone(h.records) }
 
 // At returns the encoded inventory of a revision. The argument inForce is the encoded inventory of the newest record.
-// At returns *ForgottenRevisionError if the revision is not retained.
+// At returns *EvictedRevisionError if the revision is not retained.
 func (h *History) At(revision int64, inForce []byte) ([]byte, error) {
 	content := inForce
 	for i := len(h.records) - 1; i >= 0; i-- {
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 	}
-	return nil, &ForgottenRevisionError{Revision: revision, Oldest: h.oldest()}
+	return nil, &EvictedRevisionError{Revision: revision, Oldest: h.oldest()}
 }
 
 // oldest returns the oldest revision whose inventory is retained, or zero.
--- a/configuration/history_test.go
+++ b/configuration/history_test.go
@@ -33,7 +33,7 @@
 		drawn := rapid.Int64Range(0, int64(count)).Draw(t, "revision")
 		for _, revision := range []int64{0, oldest - 1, oldest, drawn, int64(count)} {
 			content, err := h.At(revision, inForce)
-			var evicted *ForgottenRevisionError
+			var evicted *EvictedRevisionError
 			if kept := revision >= oldest; kept != (err == nil) || !kept && !errors.As(err, &evicted) || kept && !bytes.Equal(content, all[revision]) {
 				t.Fatalf("revision %d of %d, oldest %d: %v", revision, count, oldest, err)
 			}
--- a/consensus/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// bootstrap asks every founder for the identity of its disk. Bootstrap is an
-// election in which all founders must vote for the first one, and a founder
-// votes only while its log is empty. Founders whose disks were wiped therefore
-// cannot bootstrap a second quorum while another founder still has the log of
-// the first one.
+// bootstrap asks every initial voter for the identity of its disk. Bootstrap is
+// an election in which all initial voters must vote for the first one, and an
+// initial voter votes only while its log is empty. Initial voters whose disks
+// were wiped therefore cannot bootstrap a second quorum while another one still
+// has the log of the first quorum.
 func (n *Node) bootstrap() {
-	if len(n.cfg.Founders) == 0 || n.cfg.Founders[0].Name != n.cfg.Self.Name {
+	if len(n.cfg.InitialVoters) == 0 || n.cfg.InitialVoters[0].Name != n.cfg.Self.Name {
 		return
 	}
 	if n.hardState.Vote != n.cfg.Self {
@@ -18,9 +18,9 @@
 	if n.bootstrapVotes == nil {
 		n.bootstrapVotes = map[string]ID{n.cfg.Self.Name: n.cfg.Self}
 	}
-	for _, f := range n.cfg.Founders {
-		if n.bootstrapVotes[f.Name] == (ID{}) {
-			n.send(ID{Name: f.Name}, f.Address, Message{Kind: FoundRequest})
+	for _, v := range n.cfg.InitialVoters {
+		if n.bootstrapVotes[v.Name] == (ID{}) {
+			n.send(ID{Name: v.Name}, v.Address, Message{Kind: BootstrapRequest})
 		}
 	}
 	n.finishBootstrap(n.electionAt)
@@ -30,12 +30,12 @@
 	if m.To.Name != n.cfg.Self.Name || m.From.Name == n.cfg.Self.Name {
 		return
 	}
-	empty := n.log.last() == 0 && len(n.cfg.Founders) > 0
+	empty := n.log.last() == 0 && len(n.cfg.InitialVoters) > 0
 	if empty && m.Term > n.hardState.Term {
 		n.hardState = HardState{Term: m.Term, Vote: m.From}
 	}
 	granted := empty && n.hardState == HardState{Term: m.Term, Vote: m.From}
-	n.reply(m, Message{Kind: FoundReply, Granted: granted})
+	n.reply(m, Message{Kind: BootstrapReply, Granted: granted})
 }
 
 func (n *Node) onBootstrapReply(now time.Time, m Message) {
@@ -53,10 +53,10 @@
 	n.finishBootstrap(now)
 }
 
-// finishBootstrap makes this node the leader once all founders have voted for it.
+// finishBootstrap makes this node the leader once all initial voters have voted for it.
 func (n *Node) finishBootstrap(now time.Time) {
 	var members Members
-	for _, f := range n.cfg.Founders {
+	for _, f := range n.cfg.InitialVoters {
 		id := n.bootstrapVotes[f.Name]
 		if id == (ID{}) {
 			return
--- a/consensus/check.go
+++ b/consensus/check.go
@@ -6,14 +6,14 @@
 // Check returns *MalformedError if the message cannot come from a correct voter.
 func (m Message) Check() error {
 	switch {
-	case m.Kind < FoundRequest || m.Kind > TimeoutNow:
-		return &MalformedError{What: "kind of the message"}
+	case m.Kind < BootstrapRequest || m.Kind > TimeoutNow:
+		return &MalformedError{Part: "kind of the message"}
 	case m.From.Name == "":
-		return &MalformedError{What: "sender of the message"}
+		return &MalformedError{Part: "sender of the message"}
 	case !allInRange(m.Term, m.Index, m.LogTerm, m.Commit, m.Match, m.Round, int64(m.SentAt)):
-		return &MalformedError{What: "number in the message"}
+		return &MalformedError{Part: "number in the message"}
 	case m.Kind == InstallRequest && m.Snapshot == nil:
-		return &MalformedError{What: "snapshot of the message"}
+		return &MalformedError{Part: "snapshot of the message"}
 	}
 	if m.Snapshot != nil {
 		if err := m.Snapshot.check(m.Term); err != nil {
@@ -26,7 +26,7 @@
 // Check returns *MalformedError if the state cannot have been written by a correct voter.
 func (r Restored) Check() error {
 	if !allInRange(r.HardState.Term, r.Commit) {
-		return &MalformedError{What: "term of the voter"}
+		return &MalformedError{Part: "term of the voter"}
 	}
 	if r.Snapshot == nil {
 		return checkEntries(r.Entries, 0, 0, r.HardState.Term)
@@ -40,7 +40,7 @@
 // check rejects a snapshot without an index or voters, or with a term above highest.
 func (s *Snapshot) check(highest int64) error {
 	if !allInRange(s.Index, s.Term) || s.Index == 0 || s.Term > highest {
-		return &MalformedError{What: "place of the snapshot"}
+		return &MalformedError{Part: "place of the snapshot"}
 	}
 	return s.Members.check()
 }
@@ -49,10 +49,10 @@
 func checkEntries(entries []Entry, index, term, highest int64) error {
 	for _, e := range entries {
 		if e.Index != index+1 || e.Term < term || e.Term > highest {
-			return &MalformedError{What: "order of the entries"}
+			return &MalformedError{Part: "order of the entries"}
 		}
 		if e.Kind < CommandEntry || e.Kind > MembersEntry || (e.Index == 1 && e.Kind != MembersEntry) {
-			return &MalformedError{What: "kind of an entry"}
+			return &MalformedError{Part: "kind of an entry"}
 		}
 		if e.Kind == MembersEntry {
 			if err := e.Members.check(); err != nil {
@@ -69,12 +69,12 @@
 	names := map[string]bool{"": true}
 	for _, member := range m {
 		if names[member.ID.Name] {
-			return &MalformedError{What: "names of the members"}
+			return &MalformedError{Part: "names of the members"}
 		}
 		names[member.ID.Name] = true
 	}
 	if len(m.Voters()) == 0 {
-		return &MalformedError{What: "voters of the members"}
+		return &MalformedError{Part: "voters of the members"}
 	}
 	return nil
 }
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -52,15 +52,15 @@
 
 // cluster simulates servers in memory with one seeded random source.
 type cluster struct {
-	t        testingT
-	rnd      *rand.Rand
-	now      time.Duration
-	epoch    time.Time
-	servers  []*server
-	founders []Founder
-	network  []delivery
-	loss     float64
-	election time.Duration
+	t             testingT
+	rnd           *rand.Rand
+	now           time.Duration
+	epoch         time.Time
+	servers       []*server
+	initialVoters []InitialVoter
+	network       []delivery
+	loss          float64
+	election      time.Duration
 	// cutLinks holds the links that drop every message, keyed by the names of sender and receiver.
 	cutLinks map[string]bool
 	leaders  map[int64]ID
@@ -78,10 +78,10 @@
 	}
 	for i := range count {
 		name := string(rune('a' + i))
-		c.founders = append(c.founders, Founder{Name: name, Address: name})
+		c.initialVoters = append(c.initialVoters, InitialVoter{Name: name, Address: name})
 	}
 	for i := range count {
-		s := &server{name: c.founders[i].Name, rate: rates[i%len(rates)]}
+		s := &server{name: c.initialVoters[i].Name, rate: rates[i%len(rates)]}
 		c.servers = append(c.servers, s)
 		c.wipe(s)
 		c.start(s)
@@ -98,7 +98,7 @@
 	if s.node != nil {
 		return
 	}
-	cfg := Config{Self: s.id, Address: s.name, Founders: c.founders, Heartbeat: testHeartbeat, ElectionTimeout: c.election, RetainedEntries: 5}
+	cfg := Config{Self: s.id, Address: s.name, InitialVoters: c.initialVoters, Heartbeat: testHeartbeat, ElectionTimeout: c.election, RetainedEntries: 5}
 	s.state, s.applied = register{Answers: map[int]casAnswer{}}, 0
 	if s.stored.Snapshot != nil {
 		s.restore(s.stored.Snapshot)
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -124,7 +124,7 @@
 	c.run(2 * time.Second)
 	away.isolated = false
 	c.run(time.Second)
-	if status := leader.node.Status(c.clock(leader)); !status.Leads || status.Term != term {
+	if status := leader.node.Status(c.clock(leader)); !status.IsLeader || status.Term != term {
 		t.Errorf("the returned voter deposed the leader: %+v", status)
 	}
 }
@@ -166,7 +166,7 @@
 		c.run(200 * time.Millisecond)
 		c.cutLink(leader, rival)
 		c.run(time.Second + time.Duration(seed)*3*time.Millisecond)
-		if !leader.node.Status(c.clock(leader)).Leads {
+		if !leader.node.Status(c.clock(leader)).IsLeader {
 			t.Fatalf("seed %d: a voter that does not receive the leader's messages was elected", seed)
 		}
 		if seed%4 == 0 {
@@ -226,7 +226,7 @@
 	n.Receive(now, Message{Kind: PreVoteReply, From: ids[1], To: ids[0], Term: 3, Granted: true})
 	n.Receive(now, Message{Kind: VoteReply, From: ids[1], To: ids[0], Term: 3, Granted: true})
 	n.Receive(now, Message{Kind: AppendReply, From: ids[1], To: ids[0], Term: 3, Granted: true, Match: 2, Round: 1})
-	if status := n.Status(now); !status.Leads || status.Commit != 0 {
+	if status := n.Status(now); !status.IsLeader || status.Commit != 0 {
 		t.Fatalf("with an entry of term 2 on a majority: %+v", status)
 	}
 	if _, _, err := n.Remove(now, "c"); !errors.As(err, new(*NotReadyError)) {
@@ -257,7 +257,7 @@
 	c.start(lost)
 	away.isolated = false
 	c.run(3 * time.Second)
-	if away.node.Status(c.clock(away)).Leads {
+	if away.node.Status(c.clock(away)).IsLeader {
 		t.Error("a voter that lacks an accepted change was elected with the vote of a wiped disk")
 	}
 	c.start(leader)
@@ -279,7 +279,7 @@
 	survivor.isolated = false
 	c.run(3 * time.Second)
 	for _, s := range c.servers {
-		if s.node.Status(c.clock(s)).Leads {
+		if s.node.Status(c.clock(s)).IsLeader {
 			t.Errorf("%s leads without a majority of the voters' disks", s.id)
 		}
 	}
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -65,8 +65,8 @@
 
 // MalformedError reports stored or received data that cannot come from a correct voter.
 type MalformedError struct {
-	What string
+	Part string
 }
 
 // Error names the invalid part.
-func (e *MalformedError) Error() string { return "the " + e.What + " is invalid" }
+func (e *MalformedError) Error() string { return "the " + e.Part + " is invalid" }
--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -14,10 +14,10 @@
 			continue
 		}
 		status := s.node.Status(c.clock(s))
-		if known, ok := c.leaders[status.Term]; status.Leads && ok && known != s.id {
+		if known, ok := c.leaders[status.Term]; status.IsLeader && ok && known != s.id {
 			c.t.Fatalf("term %d has the leaders %s and %s", status.Term, known, s.id)
 		}
-		if status.Leads {
+		if status.IsLeader {
 			c.leaders[status.Term] = s.id
 		}
 		if _, _, ok := s.node.Lease(c.clock(s)); !ok {
@@ -45,7 +45,7 @@
 // repairMembers acts as an operator after the loss of a disk: it removes the old member and adds the new one.
 func (c *cluster) repairMembers() {
 	for _, s := range c.servers {
-		if s.node == nil || s.paused || !s.node.Status(c.clock(s)).Leads {
+		if s.node == nil || s.paused || !s.node.Status(c.clock(s)).IsLeader {
 			continue
 		}
 		for _, other := range c.servers {
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -12,7 +12,7 @@
 	for range 5000 {
 		c.run(time.Millisecond)
 		for _, s := range servers {
-			if status := s.node.Status(c.clock(s)); status.Leads && status.Term > last {
+			if status := s.node.Status(c.clock(s)); status.IsLeader && status.Term > last {
 				return s
 			}
 		}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -95,7 +95,7 @@
 
 // Receive processes a message; a message addressed to a previous disk of this instance is dropped.
 func (n *Node) Receive(now time.Time, m Message) {
-	if m.Kind == FoundRequest {
+	if m.Kind == BootstrapRequest {
 		n.onBootstrapRequest(m)
 		return
 	}
@@ -103,7 +103,7 @@
 		return
 	}
 	switch m.Kind {
-	case FoundReply:
+	case BootstrapReply:
 		n.onBootstrapReply(now, m)
 		return
 	case PreVoteRequest:
@@ -190,34 +190,34 @@
 
 // Status is a node's view of itself and of the quorum.
 type Status struct {
-	Self    ID
-	Leader  ID
-	Term    int64
-	Commit  int64
-	Members Members
-	Leads   bool
-	// Heard is the time of the last message from a leader, or the time of the call on the leader itself.
-	Heard time.Time
+	Self     ID
+	Leader   ID
+	Term     int64
+	Commit   int64
+	Members  Members
+	IsLeader bool
+	// LastLeaderContact is the time of the last message from a leader, or the time of the call on the leader itself.
+	LastLeaderContact time.Time
 }
 
 // Status returns the node's status at now.
 func (n *Node) Status(now time.Time) Status {
-	s := Status{Self: n.cfg.Self, Leader: n.leader, Term: n.hardState.Term, Commit: n.commit, Heard: n.lastLeaderContact, Members: n.log.currentMembers().members}
+	s := Status{Self: n.cfg.Self, Leader: n.leader, Term: n.hardState.Term, Commit: n.commit, LastLeaderContact: n.lastLeaderContact, Members: n.log.currentMembers().members}
 	if n.role == leader {
-		s.Leads = true
-		s.Heard = now
+		s.IsLeader = true
+		s.LastLeaderContact = now
 	}
 	return s
 }
 
-// Silences returns, on a leader, the time since it sent the newest request that each other member has acknowledged, but
-// at most the time since this node became the leader; on any other node it returns an empty map.
-func (n *Node) Silences(now time.Time) map[ID]time.Duration {
-	silences := make(map[ID]time.Duration, len(n.progress))
+// SinceAcknowledged returns, on a leader, the time since it sent the newest request that each other member has
+// acknowledged, but at most the time since this node became the leader; on any other node it returns an empty map.
+func (n *Node) SinceAcknowledged(now time.Time) map[ID]time.Duration {
+	durations := make(map[ID]time.Duration, len(n.progress))
 	for id, p := range n.progress {
-		silences[id] = min(now.Sub(p.ackedAt), now.Sub(n.leaderSince))
+		durations[id] = min(now.Sub(p.ackedAt), now.Sub(n.leaderSince))
 	}
-	return silences
+	return durations
 }
 
 // majority returns the smallest number of voters that is a majority of count.
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -112,8 +112,8 @@
 	Commit int64
 }
 
-// Founder is a voter of the initial quorum, whose disk identity is not known until bootstrap.
-type Founder struct {
+// InitialVoter is a voter of the initial quorum, whose disk identity is not known until bootstrap.
+type InitialVoter struct {
 	Name    string
 	Address string
 }
@@ -122,8 +122,8 @@
 type Config struct {
 	Self    ID
 	Address string
-	// Founders are the initial voters, which bootstrap the quorum together; if empty, the node waits to be added.
-	Founders        []Founder
+	// InitialVoters are the initial voters, which bootstrap the quorum together; if empty, the node waits to be added.
+	InitialVoters   []InitialVoter
 	Heartbeat       time.Duration
 	ElectionTimeout time.Duration
 	// RetainedEntries is the number of entries before a snapshot that are kept in memory for slow followers.
@@ -135,8 +135,8 @@
 
 // The kinds of messages.
 const (
-	FoundRequest MessageKind = iota
-	FoundReply
+	BootstrapRequest MessageKind = iota
+	BootstrapReply
 	PreVoteRequest
 	PreVoteReply
 	VoteRequest
--- a/control/control.go
+++ b/control/control.go
@@ -126,7 +126,7 @@
 		select {
 		case <-t.C:
 			if status := c.store.Status(); status.Leader.Name != "" {
-				c.hub.HeardLeader(status.Heard)
+				c.hub.RecordLeaderContact(status.LastLeaderContact)
 			}
 		case <-ctx.Done():
 			return
@@ -137,7 +137,7 @@
 // transferLeadership hands leadership to another voter before a planned stop. It waits up to the election timeout
 // until a new leader is known, so that the transfer message is sent before the links close.
 func (c *Control) transferLeadership(ctx context.Context) {
-	if !c.store.Status().Leads {
+	if !c.store.Status().IsLeader {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.ElectionTimeout)
--- a/control/demand.go
+++ b/control/demand.go
@@ -109,7 +109,7 @@
 func versionedModels(e membership.Endpoint) []string {
 	names := slices.Clone(e.Models)
 	for _, versioned := range e.Versions {
-		if i := slices.Index(names, inventory.ParseName(versioned).Served()); i >= 0 {
+		if i := slices.Index(names, inventory.ParseName(versioned).WithoutVersion()); i >= 0 {
 			names[i] = versioned
 		}
 	}
--- a/control/errors.go
+++ b/control/errors.go
@@ -14,7 +14,7 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// VoterMissingError reports that the configured founding voters do not include this instance.
+// VoterMissingError reports that the configured initial voters do not include this instance.
 type VoterMissingError struct {
 	Name   string
 	Voters []string
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -111,11 +111,11 @@
 	}
 	status := c.quorum.Status()
 	now := c.now()
-	if status.Leads {
+	if status.IsLeader {
 		_, _, ok := c.quorum.Lease(now)
 		return ok
 	}
-	return status.Leader.Name != "" && now.Sub(status.Heard) < leaderMaxAge
+	return status.Leader.Name != "" && now.Sub(status.LastLeaderContact) < leaderMaxAge
 }
 
 // runFleet expires endpoints and gateways, keeps a Share stream to each other control daemon and maintains this
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -50,20 +50,20 @@
 	return d
 }
 
-// newConfigs returns the configurations of daemons with the same seeds; the first ones are the founding voters.
-func newConfigs(t *testing.T, founders, joiners int) []Config {
+// newConfigs returns the configurations of daemons with the same seeds; the first ones are the initial voters.
+func newConfigs(t *testing.T, initialVoters, joiners int) []Config {
 	t.Helper()
 	var all []Config
 	var seeds, voters []string
-	for i := range founders + joiners {
+	for i := range initialVoters + joiners {
 		address := freeAddress(t)
 		name := string(rune('a' + i))
-		if i < founders {
+		if i < initialVoters {
 			seeds, voters = append(seeds, address), append(voters, name+"="+address)
 		}
 		all = append(all, Config{
 			Name: name, Region: "r", FailureDomain: "d", PeerAddress: address, OperatorAddress: freeAddress(t), DataFolder: t.TempDir(),
-			Join: i >= founders, Heartbeat: 10 * time.Millisecond, ElectionTimeout: 60 * time.Millisecond, SnapshotEntries: 8,
+			Join: i >= initialVoters, Heartbeat: 10 * time.Millisecond, ElectionTimeout: 60 * time.Millisecond, SnapshotEntries: 8,
 			PlacementPeriod: time.Second, Keys: keys.Plain(), Decisions: decision.New(1 << 16), ToleratedDisks: 1,
 		})
 	}
@@ -106,9 +106,9 @@
 
 func (d *daemon) voters() int { return len(d.quorum.Status().Members.Voters()) }
 
-// TestQuorumFromSeeds founds a quorum from three seeds while two more daemons request membership. The document with the
-// highest version wins, whichever daemon receives it. A daemon that lost its disk becomes a voter again and restores
-// the accepted state, and all daemons restore it after a restart of all of them.
+// TestQuorumFromSeeds bootstraps a quorum from three seeds while two more daemons request membership. The document with
+// the highest version wins, whichever daemon receives it. A daemon that lost its disk becomes a voter again and
+// restores the accepted state, and all daemons restore it after a restart of all of them.
 func TestQuorumFromSeeds(t *testing.T) {
 	cfgs := newConfigs(t, 3, 2)
 	daemons := make([]*daemon, len(cfgs))
--- a/control/followers.go
+++ b/control/followers.go
@@ -27,7 +27,7 @@
 func (d *followers) update(now time.Time, sender *wiregen.EntryAdvert) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.entries.Hear(now, wire.DecodeEntries([]*wiregen.EntryAdvert{sender})[0])
+	d.entries.Update(now, wire.DecodeEntries([]*wiregen.EntryAdvert{sender})[0])
 }
 
 func (d *followers) live(now time.Time) []membership.Entry {
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -78,7 +78,7 @@
 func fuzzMessages() []consensus.Message {
 	entries := []consensus.Entry{{Index: 6, Term: 3, Kind: consensus.TermEntry}, {Index: 7, Term: 3, Kind: consensus.MembersEntry, Members: fuzzMembers()}}
 	all := []consensus.Message{
-		{Kind: consensus.FoundRequest}, {Kind: consensus.FoundReply, Granted: true}, {Kind: consensus.TimeoutNow},
+		{Kind: consensus.BootstrapRequest}, {Kind: consensus.BootstrapReply, Granted: true}, {Kind: consensus.TimeoutNow},
 		{Kind: consensus.PreVoteRequest, Index: 9, LogTerm: 2}, {Kind: consensus.PreVoteReply, Granted: true},
 		{Kind: consensus.VoteRequest, Index: 9, LogTerm: 2, Transfer: true}, {Kind: consensus.VoteReply, Granted: true},
 		{Kind: consensus.AppendRequest, Index: 5, LogTerm: 2, Entries: entries, Commit: 7, Round: 1},
--- a/control/history.go
+++ b/control/history.go
@@ -62,7 +62,7 @@
 
 // historyProblem converts the error for a revision that is no longer in the history to a *problem.Problem.
 func historyProblem(err error) error {
-	var unknown *configuration.ForgottenRevisionError
+	var unknown *configuration.EvictedRevisionError
 	if errors.As(err, &unknown) {
 		return problem.New(problem.UnknownRevision, http.StatusNotFound, "%s", err.Error())
 	}
--- a/control/joining.go
+++ b/control/joining.go
@@ -34,8 +34,8 @@
 	}
 	for attempt := 0; clock.Sleep(ctx, joinPeriod); attempt++ {
 		s := c.quorum.Status()
-		sinceContact := c.now().Sub(s.Heard)
-		if s.Leads || s.Leader.Name != "" && sinceContact < 2*c.cfg.ElectionTimeout || !c.cfg.Join && sinceContact < 4*c.cfg.ElectionTimeout {
+		sinceContact := c.now().Sub(s.LastLeaderContact)
+		if s.IsLeader || s.Leader.Name != "" && sinceContact < 2*c.cfg.ElectionTimeout || !c.cfg.Join && sinceContact < 4*c.cfg.ElectionTimeout {
 			continue
 		}
 		c.requestJoin(ctx, attempt)
@@ -66,7 +66,7 @@
 
 // Join adds a control daemon to the members. A voter that does not lead forwards the request to the leader.
 func (c *Control) Join(ctx context.Context, m *wiregen.JoinRequest) (*wiregen.JoinReply, error) {
-	if !c.quorum.Status().Leads {
+	if !c.quorum.Status().IsLeader {
 		leader, err := c.leader()
 		if err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
--- a/control/links.go
+++ b/control/links.go
@@ -44,34 +44,34 @@
 	wg   sync.WaitGroup
 
 	mu     sync.Mutex
-	queues map[string]*ring.Ring[*wiregen.ConsensusMessage]
+	queues map[string]*ring.Queue[*wiregen.ConsensusMessage]
 }
 
 func newLinks(ctx context.Context, source *keys.Source, log zerolog.Logger) *links {
-	return &links{ctx: ctx, keys: source, log: log, queues: map[string]*ring.Ring[*wiregen.ConsensusMessage]{}}
+	return &links{ctx: ctx, keys: source, log: log, queues: map[string]*ring.Queue[*wiregen.ConsensusMessage]{}}
 }
 
 // send queues a message. A message for a full queue is dropped, as consensus retransmits what matters.
 func (l *links) send(m consensus.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.queues[m.ToAddress]
-	if r == nil {
-		r = ring.New[*wiregen.ConsensusMessage](linkQueueLength)
-		l.queues[m.ToAddress] = r
-		l.wg.Go(func() { l.run(m.To.Name, m.ToAddress, r) })
+	queue := l.queues[m.ToAddress]
+	if queue == nil {
+		queue = ring.New[*wiregen.ConsensusMessage](linkQueueLength)
+		l.queues[m.ToAddress] = queue
+		l.wg.Go(func() { l.run(m.To.Name, m.ToAddress, queue) })
 	}
-	r.Offer(encodeMessage(m))
+	queue.Offer(encodeMessage(m))
 }
 
 // run maintains a stream to an address until the link is idle or the context ends.
-func (l *links) run(name, address string, r *ring.Ring[*wiregen.ConsensusMessage]) {
+func (l *links) run(name, address string, queue *ring.Queue[*wiregen.ConsensusMessage]) {
 	for l.ctx.Err() == nil {
-		idle, err := l.stream(name, address, r)
+		idle, err := l.stream(name, address, queue)
 		if err != nil && l.ctx.Err() == nil {
 			l.log.Debug().Str("voter", address).Err(err).Msg("voter unreachable")
 		}
-		if idle && l.removeIdle(address, r) {
+		if idle && l.removeIdle(address, queue) {
 			return
 		}
 		clock.Sleep(l.ctx, linkBackoff)
@@ -79,10 +79,10 @@
 }
 
 // removeIdle removes the link if its queue is empty and reports whether it did.
-func (l *links) removeIdle(address string, r *ring.Ring[*wiregen.ConsensusMessage]) bool {
+func (l *links) removeIdle(address string, queue *ring.Queue[*wiregen.ConsensusMessage]) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.Len() > 0 {
+	if queue.Len() > 0 {
 		return false
 	}
 	delete(l.queues, address)
@@ -90,7 +90,7 @@
 }
 
 // stream sends queued messages over one connection; idle reports that it ended because no message was queued in time.
-func (l *links) stream(name, address string, r *ring.Ring[*wiregen.ConsensusMessage]) (idle bool, err error) {
+func (l *links) stream(name, address string, queue *ring.Queue[*wiregen.ConsensusMessage]) (idle bool, err error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(l.keys.Client(name)),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.DefaultConfig, MinConnectTimeout: linkConnectTimeout}),
@@ -107,7 +107,7 @@
 	}
 	for {
 		takeCtx, stop := context.WithTimeout(ctx, linkIdleTimeout)
-		m, err := r.Take(takeCtx)
+		m, err := queue.Take(takeCtx)
 		stop()
 		if err != nil {
 			return true, l.ctx.Err()
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -26,7 +26,7 @@
 		s := c.store.Status()
 		return metrics{
 			Term:            s.Term,
-			Leads:           s.Leads,
+			Leads:           s.IsLeader,
 			CommitIndex:     s.Commit,
 			Revision:        c.store.Current().Revision,
 			Voters:          len(s.Members.Voters()),
--- a/control/operators_orders.go
+++ b/control/operators_orders.go
@@ -32,7 +32,7 @@
 // Newest returns the newest document accepted by the quorum, including every document accepted before the call.
 // Failures are of type *problem.Problem.
 func (c *Control) Newest(ctx context.Context) (configuration.Document, error) {
-	if c.quorum.Status().Leads {
+	if c.quorum.Status().IsLeader {
 		if err := c.quorum.Confirm(ctx); err != nil {
 			return configuration.Document{}, err
 		}
@@ -77,7 +77,7 @@
 }
 
 func (c *Control) decideOrder(ctx context.Context, m *wiregen.FleetOrder) error {
-	if c.quorum.Status().Leads {
+	if c.quorum.Status().IsLeader {
 		return c.proposeOrder(ctx, m)
 	}
 	leader, err := c.leader()
@@ -115,7 +115,7 @@
 // Newest returns the newest document to another voter.
 func (s fleetServer) Newest(ctx context.Context, _ *wiregen.NewestRequest) (*wiregen.RouteDocument, error) {
 	c := s.Control
-	if !c.quorum.Status().Leads {
+	if !c.quorum.Status().IsLeader {
 		return nil, status.Error(codes.Unavailable, c.quorum.notLeader().Error())
 	}
 	d, err := c.Newest(ctx)
--- a/control/quorum.go
+++ b/control/quorum.go
@@ -57,7 +57,7 @@
 	cfg    Config
 	log    zerolog.Logger
 	now    func() time.Time
-	inputs *ring.Ring[func(time.Time)]
+	inputs *ring.Queue[func(time.Time)]
 	links  *links
 	// onAccepted is called with each accepted inventory, in order.
 	onAccepted func(revision int64, encoded []byte)
@@ -103,7 +103,7 @@
 	q.node = consensus.New(consensus.Config{
 		Self:            consensus.ID{Name: cfg.Name, Disk: d.identity},
 		Address:         cfg.PeerAddress,
-		Founders:        founders(cfg),
+		InitialVoters:   initialVoters(cfg),
 		Heartbeat:       cfg.Heartbeat,
 		ElectionTimeout: cfg.ElectionTimeout,
 		RetainedEntries: retainedEntries,
@@ -113,14 +113,14 @@
 	return q, nil
 }
 
-func founders(cfg Config) []consensus.Founder {
+func initialVoters(cfg Config) []consensus.InitialVoter {
 	if cfg.Join {
 		return nil
 	}
-	var all []consensus.Founder
+	var all []consensus.InitialVoter
 	for _, voter := range cfg.Voters {
 		name, address, _ := strings.Cut(voter, "=")
-		all = append(all, consensus.Founder{Name: name, Address: address})
+		all = append(all, consensus.InitialVoter{Name: name, Address: address})
 	}
 	return all
 }
@@ -305,13 +305,13 @@
 	q.mu.Lock()
 	before := q.status
 	q.status = status
-	q.replyAges = q.node.Silences(now)
+	q.replyAges = q.node.SinceAcknowledged(now)
 	q.lease = leaseState{term: term, end: end, held: held}
 	q.mu.Unlock()
-	if before.Leader != status.Leader || before.Leads != status.Leads {
-		q.log.Info().Int64("term", status.Term).Str("leader", status.Leader.Name).Bool("leads", status.Leads).Msg("leader changed")
+	if before.Leader != status.Leader || before.IsLeader != status.IsLeader {
+		q.log.Info().Int64("term", status.Term).Str("leader", status.Leader.Name).Bool("leads", status.IsLeader).Msg("leader changed")
 	}
-	if before.Leads && !status.Leads {
+	if before.IsLeader && !status.IsLeader {
 		q.failPendingChanges()
 	}
 }
@@ -375,7 +375,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, m := range q.status.Members {
-		if m.Voter && q.status.Leads && q.replyAges[m.ID] >= timeout {
+		if m.Voter && q.status.IsLeader && q.replyAges[m.ID] >= timeout {
 			return m.ID, true
 		}
 	}
--- a/endpoint/errors.go
+++ b/endpoint/errors.go
@@ -47,19 +47,19 @@
 // NotRun returns true.
 func (e *NotSentError) NotRun() bool { return true }
 
-// DoubtError reports that a call was sent, at least in part, and that its outcome is unknown.
-type DoubtError struct {
+// OutcomeUnknownError reports that a call was sent, at least in part, and that its outcome is unknown.
+type OutcomeUnknownError struct {
 	Endpoint string
 	Cause    error
 }
 
 // Error names the endpoint and the cause.
-func (e *DoubtError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("outcome of the call sent to endpoint %q is unknown: %v", e.Endpoint, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *DoubtError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
 // NoFinishReasonError reports that an answer reached its end mark without a finish reason.
 type NoFinishReasonError struct{}
@@ -73,13 +73,13 @@
 // Error says what is missing.
 func (e *NoPositionError) Error() string { return "a piece of the answer has no position" }
 
-// AfterEndError reports that a new piece arrived after the end of the answer.
-type AfterEndError struct {
+// PieceAfterEndError reports that a new piece arrived after the end of the answer.
+type PieceAfterEndError struct {
 	Position int
 }
 
 // Error names the position.
-func (e *AfterEndError) Error() string {
+func (e *PieceAfterEndError) Error() string {
 	return fmt.Sprintf("position %d arrived after the end of the answer", e.Position)
 }
 
@@ -89,13 +89,13 @@
 // Error says what happened.
 func (e *EngineError) Error() string { return "the engine ended the answer with an error event" }
 
-// LateError reports that the deadline for sending a call has passed or the call has ended.
-type LateError struct {
+// SendDeadlineError reports that the deadline for sending a call has passed or the call has ended.
+type SendDeadlineError struct {
 	SendBy time.Time
 }
 
 // Error names the deadline.
-func (e *LateError) Error() string { return "the call had to be sent by " + e.SendBy.String() }
+func (e *SendDeadlineError) Error() string { return "the call had to be sent by " + e.SendBy.String() }
 
 // ResendRefusedError reports that a second connection for a call was refused.
 type ResendRefusedError struct {
--- a/endpoint/model.go
+++ b/endpoint/model.go
@@ -24,21 +24,21 @@
 	attemptHeader   = "X-Attempt"
 )
 
-// Models sends requests to model engines.
-type Models struct {
+// ModelClient sends requests to model engines.
+type ModelClient struct {
 	client *http.Client
 }
 
-var _ dispatch.ModelCaller = (*Models)(nil)
+var _ dispatch.ModelCaller = (*ModelClient)(nil)
 
-// NewModels returns a client of model engines that reuses connections.
-func NewModels() *Models {
-	return &Models{client: &http.Client{Transport: newTransport(true)}}
+// NewModelClient returns a client of model engines that reuses connections.
+func NewModelClient() *ModelClient {
+	return &ModelClient{client: &http.Client{Transport: newTransport(true)}}
 }
 
 // Generate sends the request to the engine and passes the pieces of its answer to the sink. It returns
 // *stream.IncompleteError if the stream stops early.
-func (m *Models) Generate(ctx context.Context, e membership.Endpoint, r dispatch.Request, attempt dispatch.Attempt, sink stream.Sink) (stream.End, error) {
+func (m *ModelClient) Generate(ctx context.Context, e membership.Endpoint, r dispatch.Request, attempt dispatch.Attempt, sink stream.Sink) (stream.End, error) {
 	body, err := buildEngineBody(r, attempt)
 	if err != nil {
 		return stream.End{}, err
--- a/endpoint/model_test.go
+++ b/endpoint/model_test.go
@@ -45,7 +45,7 @@
 func generate(t testing.TB, e membership.Endpoint, attempt int) (string, stream.End, error) {
 	s := &sink{}
 	r := dispatch.Request{CorrelationID: requestID, Path: "/v1/chat/completions", Body: []byte(`{"model":"m"}`)}
-	end, err := NewModels().Generate(t.Context(), e, r, dispatch.Attempt{Number: attempt}, s)
+	end, err := NewModelClient().Generate(t.Context(), e, r, dispatch.Attempt{Number: attempt}, s)
 	return s.String(), end, err
 }
 
@@ -150,7 +150,7 @@
 	s := &sink{}
 	r := dispatch.Request{CorrelationID: requestID, Body: []byte(`{"model":"m","resume":{"position":9}}`)}
 	attempt := dispatch.Attempt{Number: 1, Next: 2, Text: text(2)}
-	end, err := NewModels().Generate(t.Context(), e, r, attempt, s)
+	end, err := NewModelClient().Generate(t.Context(), e, r, attempt, s)
 	if err != nil || text(2)+s.String() != text(4) || end.Pieces != 4 {
 		t.Errorf("text %q, end %+v, error %v", s.String(), end, err)
 	}
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -12,22 +12,23 @@
 // maxReplyBytes is the largest answer of a plain service.
 const maxReplyBytes = 8 << 20
 
-// Plain sends calls to plain services. Each call has its own transport and connection, so that none is ever sent again.
-type Plain struct{}
+// PlainClient sends calls to plain services. Each call has its own transport and connection, so that none is ever sent
+// again.
+type PlainClient struct{}
 
-var _ dispatch.PlainCaller = (*Plain)(nil)
+var _ dispatch.PlainCaller = (*PlainClient)(nil)
 
-// NewPlain returns a client of plain services.
-func NewPlain() *Plain { return &Plain{} }
+// NewPlainClient returns a client of plain services.
+func NewPlainClient() *PlainClient { return &PlainClient{} }
 
 func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // singleReadBody is a body that can be read only once, so that it cannot be sent again.
 type singleReadBody struct{ io.Reader }
 
-// Call sends the call once. It returns *NotSentError if no byte was sent, and *DoubtError if no complete answer
-// arrived.
-func (p *Plain) Call(ctx context.Context, e membership.Endpoint, r dispatch.Request) (dispatch.Reply, error) {
+// Call sends the call once. It returns *NotSentError if no byte was sent, and *OutcomeUnknownError if no complete
+// answer arrived.
+func (p *PlainClient) Call(ctx context.Context, e membership.Endpoint, r dispatch.Request) (dispatch.Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+e.Address+r.Path, singleReadBody{newOpaqueBody(r.Body)})
 	if err != nil {
 		return dispatch.Reply{}, &NotSentError{Endpoint: e.Name, Cause: err}
@@ -47,12 +48,12 @@
 		return dispatch.Reply{}, &NotSentError{Endpoint: e.Name, Cause: err}
 	}
 	if err != nil {
-		return dispatch.Reply{}, &DoubtError{Endpoint: e.Name, Cause: err}
+		return dispatch.Reply{}, &OutcomeUnknownError{Endpoint: e.Name, Cause: err}
 	}
 	return readReply(e, resp)
 }
 
-// readReply reads a complete answer; an incomplete one returns *DoubtError.
+// readReply reads a complete answer; an incomplete one returns *OutcomeUnknownError.
 func readReply(e membership.Endpoint, resp *http.Response) (dispatch.Reply, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
@@ -60,7 +61,7 @@
 		err = &AnswerTooLongError{Endpoint: e.Name, Limit: maxReplyBytes}
 	}
 	if err != nil {
-		return dispatch.Reply{}, &DoubtError{Endpoint: e.Name, Cause: err}
+		return dispatch.Reply{}, &OutcomeUnknownError{Endpoint: e.Name, Cause: err}
 	}
 	return dispatch.Reply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body, Endpoint: e.Name}, nil
 }
--- a/endpoint/plain_test.go
+++ b/endpoint/plain_test.go
@@ -18,7 +18,7 @@
 		size     int
 		cut      bool
 		tooLarge bool
-		doubt    bool
+		unknown  bool
 	}{
 		{"empty", 0, false, false, false},
 		{"largest", maxReplyBytes, false, false, false},
@@ -36,10 +36,10 @@
 			}))
 			defer server.Close()
 			e := membership.Endpoint{Name: "desk", Address: server.Listener.Addr().String()}
-			reply, err := NewPlain().Call(t.Context(), e, dispatch.Request{Method: http.MethodPost, Path: "/orders"})
-			var doubt *DoubtError
+			reply, err := NewPlainClient().Call(t.Context(), e, dispatch.Request{Method: http.MethodPost, Path: "/orders"})
+			var unknown *OutcomeUnknownError
 			var tooLarge *AnswerTooLongError
-			if errors.As(err, &doubt) != tt.doubt || errors.As(err, &tooLarge) != tt.tooLarge {
+			if errors.As(err, &unknown) != tt.unknown || errors.As(err, &tooLarge) != tt.tooLarge {
 				t.Fatalf("error %v", err)
 			}
 			if err == nil && len(reply.Body) != tt.size {
--- a/endpoint/reader.go
+++ b/endpoint/reader.go
@@ -94,7 +94,7 @@
 	if event.HasAttempt {
 		attempt = event.Attempt
 	}
-	if !a.sequencer.Owns(event.ID, attempt) {
+	if !a.sequencer.Matches(event.ID, attempt) {
 		return nil
 	}
 	if err := a.handlePiece(event); err != nil {
@@ -115,7 +115,7 @@
 		return nil
 	}
 	if a.ended && event.Position >= a.sequencer.Next() {
-		return &AfterEndError{Position: event.Position}
+		return &PieceAfterEndError{Position: event.Position}
 	}
 	piece := stream.Piece{RequestID: a.requestID, Attempt: a.attempt, Position: event.Position, Text: event.Text}
 	ok, err := a.sequencer.Accept(piece)
--- a/endpoint/send_once.go
+++ b/endpoint/send_once.go
@@ -71,11 +71,11 @@
 	once *sendOnce
 }
 
-// Write checks the clock directly before the first byte is sent. It returns *LateError if the deadline for sending has
-// passed or the call has ended.
+// Write checks the clock directly before the first byte is sent. It returns *SendDeadlineError if the deadline for
+// sending has passed or the call has ended.
 func (c *sendOnceConn) Write(b []byte) (int, error) {
 	if !c.once.allowWrite() {
-		return 0, &LateError{SendBy: c.once.sendBy}
+		return 0, &SendDeadlineError{SendBy: c.once.sendBy}
 	}
 	return c.Conn.Write(b)
 }
--- a/endpoint/send_once_test.go
+++ b/endpoint/send_once_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestPlainCallNotResent checks that net/http sends a call again after the endpoint closed a reused connection, and
-// that Plain does not.
+// that PlainClient does not.
 func TestPlainCallNotResent(t *testing.T) {
 	resending := newClosingServer(t, 1)
 	client := &http.Client{}
@@ -74,10 +74,10 @@
 		}
 	}
 	if n := resending.requests.Load(); n != 3 {
-		t.Errorf("net/http sent two calls %d times, want 3: it no longer resends, which Plain guards against", n)
+		t.Errorf("net/http sent two calls %d times, want 3: it no longer resends, which PlainClient guards against", n)
 	}
 	single := newClosingServer(t, 1)
-	plain := NewPlain()
+	plain := NewPlainClient()
 	for range 2 {
 		if _, err := plain.Call(t.Context(), membership.Endpoint{Address: single.address}, dispatch.Request{Method: http.MethodPost, Path: "/", Body: []byte("order")}); err != nil {
 			t.Errorf("a call on a connection of its own failed: %v", err)
@@ -110,7 +110,7 @@
 			before := closing.requests.Load()
 			for _, method := range []string{http.MethodPost, http.MethodGet} {
 				r := dispatch.Request{Method: method, Path: "/", Body: []byte("order"), SendBy: test.sendBy}
-				_, err := NewPlain().Call(test.ctx, membership.Endpoint{Address: test.address}, r)
+				_, err := NewPlainClient().Call(test.ctx, membership.Endpoint{Address: test.address}, r)
 				var notSent *NotSentError
 				if errors.As(err, &notSent) != test.notSent || err == nil {
 					t.Errorf("%s: error %v, want one that says not sent: %t", method, err, test.notSent)
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -40,10 +40,10 @@
 	mux.HandleFunc("POST /v1/chat/completions", n.authenticated(n.chat))
 	mux.HandleFunc("POST /v1/completions", n.authenticated(n.text))
 	mux.HandleFunc("/v1/services/{service}/{path...}", n.authenticated(n.service))
-	guard := operator.NewGuard(n.cfg.OperatorTokenDigest, n.cfg.MaxBodyBytes)
-	mux.HandleFunc("GET /v1/repair", guard.Handle(n.listDoubtful))
-	mux.HandleFunc("POST /v1/repair", guard.Handle(n.settleDoubtful))
-	mux.HandleFunc(operator.DecisionsRoute, guard.Handle(operator.Decisions(n.cfg.Decisions)))
+	authorizer := operator.NewAuthorizer(n.cfg.OperatorTokenDigest, n.cfg.MaxBodyBytes)
+	mux.HandleFunc("GET /v1/repair", authorizer.Handle(n.listDoubtful))
+	mux.HandleFunc("POST /v1/repair", authorizer.Handle(n.settleDoubtful))
+	mux.HandleFunc(operator.DecisionsRoute, authorizer.Handle(operator.Decisions(n.cfg.Decisions)))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", n.writeReadiness)
 	mux.HandleFunc("GET /debug/vars", metrics.Handler)
@@ -60,7 +60,7 @@
 	if !n.ready() {
 		status = http.StatusServiceUnavailable
 	}
-	writeReply(w, status, &wiregen.ReadyReply{Revision: revision, Source: source, Leaving: n.leaving.Load(), LedgerFatalDomain: n.domains.fatal()})
+	writeReply(w, status, &wiregen.ReadyReply{Revision: revision, Source: source, Leaving: n.leaving.Load(), LedgerFatalDomain: n.domains.fatalDomain()})
 }
 
 // caller is the context of an authenticated request: the team, the inventory in force and the correlation ID.
--- a/entry/domains.go
+++ b/entry/domains.go
@@ -22,11 +22,11 @@
 
 func newDomains() *domains { return &domains{byName: map[string]string{}} }
 
-// fatal returns the failure domain whose loss would stop the region's ledger, or "" if there is none.
-func (d *domains) fatal() string {
+// fatalDomain returns the failure domain whose loss would stop the region's ledger, or "" if there is none.
+func (d *domains) fatalDomain() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.placement.Fatal
+	return d.placement.FatalDomain
 }
 
 // watchDomains checks the placement of the ledger replicas periodically until ctx ends.
@@ -47,14 +47,14 @@
 		}
 	}
 	slots := n.ledgerGroup.Slots()
-	now := ledger.Place(slots, d.byName)
+	now := ledger.CheckPlacement(slots, d.byName)
 	before := d.placement
 	d.placement = now
 	switch {
-	case now.Fatal == before.Fatal && slices.Equal(now.Better, before.Better):
-	case now.Fatal == "":
+	case now.FatalDomain == before.FatalDomain && slices.Equal(now.Alternative, before.Alternative):
+	case now.FatalDomain == "":
 		n.log.Info().Strs("replicas", slots).Msg("ledger depends on no single failure domain")
 	default:
-		n.log.Warn().Str("failureDomain", now.Fatal).Strs("replicas", slots).Strs("better", now.Better).Msg("ledger depends on one failure domain")
+		n.log.Warn().Str("failureDomain", now.FatalDomain).Strs("replicas", slots).Strs("better", now.Alternative).Msg("ledger depends on one failure domain")
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -54,14 +54,14 @@
 	s := newState(cfg.Self, now)
 	p := newPeers(s, cfg.Self.Name, cfg.Keys)
 	self := dispatch.Hop{Instance: cfg.Self.Name, Region: cfg.Self.Region}
-	d := dispatch.New(self, s, timedModelCaller{next: endpoint.NewModels()}, endpoint.NewPlain(), p, newChooser(cfg.RoutingPolicy, now(), newRandSource(cfg.Seed)), now, newRandSource(cfg.Seed), log)
+	d := dispatch.New(self, s, timedModelCaller{next: endpoint.NewModelClient()}, endpoint.NewPlainClient(), p, newChooser(cfg.RoutingPolicy, now(), newRandSource(cfg.Seed)), now, newRandSource(cfg.Seed), log)
 	r := newRateLimiter(cfg.Self, now)
 	d = d.WithLimiter(r)
 	counts := cfg.Metrics
 	if counts == nil {
 		counts = metrics.New()
 	}
-	counts.Add(dispatchVar, expvar.Func(func() any { return d.Metrics() }))
+	counts.Publish(dispatchVar, expvar.Func(func() any { return d.Metrics() }))
 	n := &Entry{
 		cfg:        cfg,
 		log:        log,
@@ -77,7 +77,7 @@
 		startedAt:  now(),
 		done:       make(chan struct{}),
 	}
-	counts.Add(requestBytesVar, expvar.Func(func() any { return n.memory.used() }))
+	counts.Publish(requestBytesVar, expvar.Func(func() any { return n.memory.used() }))
 	client := newLedgerClient(n, cfg.LedgerReplicas)
 	n.ledgerGroup = calls.NewGroup(client.slots(), client)
 	n.runner = calls.New(cfg.Self.Name, n.ledgerGroup, d, n.mayStoreAnswer, cfg.LedgerRetention, log, now)
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -49,7 +49,7 @@
 // Self returns this entry and the revision that it has in force.
 func (n relayInstance) Self() distribution.Instance {
 	_, revision := n.state.Inventory()
-	return distribution.Instance{Name: n.cfg.Self.Name, Region: n.cfg.Self.Region, Revision: revision, LedgerFatalDomain: n.domains.fatal(), At: n.state.now()}
+	return distribution.Instance{Name: n.cfg.Self.Name, Region: n.cfg.Self.Region, Revision: revision, LedgerFatalDomain: n.domains.fatalDomain(), At: n.state.now()}
 }
 
 // Advert returns this entry's advert.
--- a/entry/forwarded.go
+++ b/entry/forwarded.go
@@ -84,7 +84,7 @@
 	s, ok := inv.Service(r.Service)
 	team, known := inv.Team(r.Team)
 	if ok && !s.Idempotent && known && team.HomeRegion == n.cfg.Self.Region {
-		return n.runner.RunThen(ctx, r, release)
+		return n.runner.RunNotify(ctx, r, release)
 	}
 	defer release()
 	switch {
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -60,8 +60,8 @@
 // between regions through their gateways.
 type gossipState struct {
 	region string
-	local  *membership.Share[membership.Fact]
-	global *membership.Share[membership.Fact]
+	local  *membership.Gossip[membership.Fact]
+	global *membership.Gossip[membership.Fact]
 	// cursor is the name of the endpoint whose load was reported last; loads are reported in turn.
 	cursor string
 	// loadCredit is the number of loads that may be reported now.
@@ -83,8 +83,8 @@
 	incarnation := now.UnixNano()
 	return &gossipState{
 		region: self.Region,
-		local:  membership.NewShare[membership.Fact](now, self.Name, incarnation),
-		global: membership.NewShare[membership.Fact](now, self.Name, incarnation),
+		local:  membership.NewGossip[membership.Fact](now, self.Name, incarnation),
+		global: membership.NewGossip[membership.Fact](now, self.Name, incarnation),
 	}
 }
 
@@ -189,10 +189,10 @@
 }
 
 // reportEntry reports an advert if it differs from the one reported before.
-func (f *gossipState) reportEntry(share *membership.Share[membership.Fact], e membership.Entry) {
-	reported, ok := share.Told(entryKey + e.Name)
+func (f *gossipState) reportEntry(gossip *membership.Gossip[membership.Fact], e membership.Entry) {
+	reported, ok := gossip.Get(entryKey + e.Name)
 	if !ok || e.Differs(*reported.Entry) {
-		share.Put(entryKey+e.Name, membership.Fact{Entry: &e})
+		gossip.Put(entryKey+e.Name, membership.Fact{Entry: &e})
 	}
 }
 
@@ -203,13 +203,13 @@
 	start, _ := slices.BinarySearchFunc(endpoints, f.cursor+"\x00", func(e membership.Endpoint, name string) int { return strings.Compare(e.Name, name) })
 	for i := range endpoints {
 		e := endpoints[(start+i)%len(endpoints)]
-		reported, ok := f.local.Told(endpointKey + e.Name)
+		reported, ok := f.local.Get(endpointKey + e.Name)
 		if !ok || e.Differs(*reported.Endpoint) {
 			f.reportEndpoint(e)
 			continue
 		}
 		sequence := reported.Endpoint.Sequence
-		if load, ok := f.local.Told(loadKey + e.Name); ok {
+		if load, ok := f.local.Get(loadKey + e.Name); ok {
 			sequence = load.Load.Sequence
 		}
 		if e.Sequence <= sequence || f.loadCredit < 1 {
@@ -258,7 +258,7 @@
 	for _, summary := range membership.Summarize(now, s.region, s.endpointsNow(now)) {
 		key := summaryKey + summary.Service
 		current[key] = true
-		reported, ok := s.gossip.global.Told(key)
+		reported, ok := s.gossip.global.Get(key)
 		if !ok || now.Sub(reported.Summary.At) >= s.summaryPeriod(now) {
 			s.gossip.global.Put(key, membership.Fact{Summary: &summary})
 		}
--- a/entry/ledger.go
+++ b/entry/ledger.go
@@ -24,7 +24,7 @@
 	addresses map[string]string
 }
 
-var _ calls.Link = (*ledgerClient)(nil)
+var _ calls.Transport = (*ledgerClient)(nil)
 
 // newLedgerClient returns a client of the replicas given as name=address.
 func newLedgerClient(n *Entry, replicas []string) *ledgerClient {
@@ -104,7 +104,7 @@
 	}
 	fail := func(err error) { n.log.Fatal().Err(err).Msg("ledger journal failed") }
 	n.replica = calls.NewReplica(n.cfg.Self.Name, replica, log, n.state.now, fail)
-	n.log.Info().Int("records", len(contents.Records)).Int64("cutBytes", contents.Cut).Msg("ledger journal opened")
+	n.log.Info().Int("records", len(contents.Records)).Int64("cutBytes", contents.Truncated).Msg("ledger journal opened")
 	return n.replica.Restore(contents.Records)
 }
 
@@ -113,7 +113,7 @@
 	if n.replica == nil {
 		return
 	}
-	calls.NewKeeper(n.replica, n.ledgerGroup, n.log).Run(ctx)
+	calls.NewReconciler(n.replica, n.ledgerGroup, n.log).Run(ctx)
 }
 
 // ledgerEpoch returns the epoch of the own replica, or "" if there is no replica or it is not active.
--- a/entry/models.go
+++ b/entry/models.go
@@ -95,7 +95,7 @@
 // its own region.
 func (n *Entry) recordAddedLatency(t *timing) {
 	if d, ok := t.addedLatency(time.Now()); ok {
-		n.metrics.Added(d)
+		n.metrics.ObserveAddedLatency(d)
 	}
 }
 
--- a/entry/repair.go
+++ b/entry/repair.go
@@ -22,8 +22,8 @@
 
 // listDoubtful returns the region's calls that may have run without a recorded outcome.
 func (n *Entry) listDoubtful(r *http.Request) (proto.Message, error) {
-	doubtful, silent, epoch := n.runner.Doubtful(r.Context())
-	reply := &wiregen.RepairListReply{Region: n.cfg.Self.Region, Epoch: epoch, Silent: silent}
+	doubtful, missing, epoch := n.runner.Doubtful(r.Context())
+	reply := &wiregen.RepairListReply{Region: n.cfg.Self.Region, Epoch: epoch, Silent: missing}
 	for _, call := range doubtful {
 		reply.Calls = append(reply.Calls, &wiregen.DoubtfulCall{
 			Team:      call.Key.Team,
--- a/entry/services.go
+++ b/entry/services.go
@@ -54,7 +54,7 @@
 // once the call holds no memory any more, which may be after the caller has disconnected.
 func (n *Entry) call(ctx context.Context, req dispatch.Request, s inventory.Service, home string, release func()) (dispatch.Reply, error) {
 	if !s.Idempotent && home == n.cfg.Self.Region {
-		return n.runner.RunThen(ctx, req, release)
+		return n.runner.RunNotify(ctx, req, release)
 	}
 	defer release()
 	if s.Idempotent {
--- a/entry/state.go
+++ b/entry/state.go
@@ -123,7 +123,7 @@
 func (s *state) updateEntry(e membership.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries.Hear(s.now(), e)
+	s.entries.Update(s.now(), e)
 }
 
 // live returns the entries that are considered live.
@@ -182,16 +182,16 @@
 	now := s.now()
 	if !m.GetWithoutLocal() && m.GetRegion() == s.region {
 		reply.UnknownSender = !slices.Contains(s.gossip.local.Live(now, s.gossip.localTTL()), m.GetSender())
-		reply.LocalBeats, reply.Local = encodeMissing(now, s.gossip.local, s.gossip.localTTL(), m.GetLocal())
+		reply.LocalBeats, reply.Local = encodeDeltas(now, s.gossip.local, s.gossip.localTTL(), m.GetLocal())
 	}
 	if !m.GetWithoutGlobal() {
-		reply.GlobalBeats, reply.Global = encodeMissing(now, s.gossip.global, s.gossip.globalTTL(), m.GetGlobal())
+		reply.GlobalBeats, reply.Global = encodeDeltas(now, s.gossip.global, s.gossip.globalTTL(), m.GetGlobal())
 	}
 }
 
-func encodeMissing(now time.Time, share *membership.Share[membership.Fact], ttl time.Duration, m *wiregen.ShareMarks) (*wiregen.ShareBeats, []*wiregen.ShareDelta) {
-	marks, positions := wire.DecodeMarks(m, share.Marks(now, ttl))
-	beats, deltas := wire.EncodeBeats(share.Missing(now, ttl, marks), m, positions)
+func encodeDeltas(now time.Time, gossip *membership.Gossip[membership.Fact], ttl time.Duration, m *wiregen.ShareMarks) (*wiregen.ShareBeats, []*wiregen.ShareDelta) {
+	marks, positions := wire.DecodeMarks(m, gossip.Marks(now, ttl))
+	beats, deltas := wire.EncodeBeats(gossip.DeltasSince(now, ttl, marks), m, positions)
 	return beats, wire.EncodeDeltas(now, deltas)
 }
 
@@ -208,8 +208,8 @@
 	s.endpointViewAt = time.Time{}
 }
 
-func applyDeltas(now time.Time, share *membership.Share[membership.Fact], ttl time.Duration, marks []membership.Mark, beats *wiregen.ShareBeats, deltas []*wiregen.ShareDelta) {
-	share.Learn(now, wire.DecodeBeats(beats, marks))
-	share.Learn(now, wire.DecodeDeltas(now, deltas, share.Marks(now, ttl)))
-	share.Forget(now, ttl)
+func applyDeltas(now time.Time, gossip *membership.Gossip[membership.Fact], ttl time.Duration, marks []membership.Mark, beats *wiregen.ShareBeats, deltas []*wiregen.ShareDelta) {
+	gossip.Apply(now, wire.DecodeBeats(beats, marks))
+	gossip.Apply(now, wire.DecodeDeltas(now, deltas, gossip.Marks(now, ttl)))
+	gossip.DeleteExpired(now, ttl)
 }
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -28,7 +28,7 @@
 	last bool
 }
 
-// writer is the sink of one answer to a caller. A streamed answer goes through a bounded ring buffer to a goroutine
+// writer is the sink of one answer to a caller. A streamed answer goes through a bounded queue to a goroutine
 // that writes it. A caller that reads slowly therefore applies backpressure to the engine, and one that has stopped
 // reading cancels the answer.
 type writer struct {
@@ -38,7 +38,7 @@
 	answer    completion.Answer
 	streaming bool
 	timeout   time.Duration
-	events    *ring.Ring[event]
+	events    *ring.Queue[event]
 	done      chan struct{}
 	// failure is the error of the last write; it is read only after done is closed.
 	failure error
@@ -59,8 +59,8 @@
 // started reports whether writing the answer to the caller has begun.
 func (s *writer) started() bool { return s.done != nil }
 
-// Piece enqueues a piece of a streamed answer, and blocks while the ring is full. For an answer that is not streamed it
-// buffers the piece.
+// Piece enqueues a piece of a streamed answer, and blocks while the queue is full. For an answer that is not streamed
+// it buffers the piece.
 func (s *writer) Piece(p stream.Piece) error {
 	s.pieces++
 	if s.pieces == 1 {
--- a/exchange/errors.go
+++ b/exchange/errors.go
@@ -24,9 +24,9 @@
 	Stage   Stage
 	// Outcome is NotRun only if the endpoint cannot have received the complete header of the request.
 	Outcome problem.Outcome
-	// Kept reports that the connection had carried another request before.
-	Kept  bool
-	Cause error
+	// Reused reports that the connection had carried another request before.
+	Reused bool
+	Cause  error
 }
 
 // Error names the address, the stage and the cause.
@@ -47,12 +47,12 @@
 	return problem.Unknown
 }
 
-// ForeignAnswersError reports that only responses to other requests arrived.
-type ForeignAnswersError struct {
-	Answers int
+// UnmatchedResponsesError reports that only responses to other requests arrived.
+type UnmatchedResponsesError struct {
+	Responses int
 }
 
 // Error names the number of responses.
-func (e *ForeignAnswersError) Error() string {
-	return fmt.Sprintf("%d responses belonged to other requests", e.Answers)
+func (e *UnmatchedResponsesError) Error() string {
+	return fmt.Sprintf("%d responses belonged to other requests", e.Responses)
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Idle limits how long a connection may have been idle before it is reused.
-type Idle struct {
+// IdleLimits limits how long a connection may have been idle before it is reused.
+type IdleLimits struct {
 	// Repeatable applies to requests that may run again if the endpoint has closed the connection meanwhile.
 	Repeatable time.Duration
-	// Once applies to requests that may not run again.
-	Once time.Duration
+	// NonRepeatable applies to requests that may not run again.
+	NonRepeatable time.Duration
 }
 
 // Pool holds idle connections to endpoints. It is safe for concurrent use.
 type Pool struct {
-	idleLimits Idle
+	idleLimits IdleLimits
 	// connectTimeout limits one attempt to connect.
 	connectTimeout time.Duration
 	now            func() time.Time
@@ -29,7 +29,7 @@
 }
 
 // NewPool returns an empty pool. An attempt to connect fails after connectTimeout.
-func NewPool(idle Idle, connectTimeout time.Duration, now func() time.Time) *Pool {
+func NewPool(idle IdleLimits, connectTimeout time.Duration, now func() time.Time) *Pool {
 	return &Pool{idleLimits: idle, connectTimeout: connectTimeout, now: now, idleConns: map[string][]*connection{}}
 }
 
@@ -39,7 +39,7 @@
 // getIdle returns an idle connection that is still open, or nil. It takes the most recently used one, which the
 // endpoint is least likely to have closed.
 func (p *Pool) getIdle(address string, repeatable bool) *connection {
-	limit := p.idleLimits.Once
+	limit := p.idleLimits.NonRepeatable
 	if repeatable {
 		limit = p.idleLimits.Repeatable
 	}
@@ -91,8 +91,8 @@
 	p.idleConns[c.address] = append(p.idleConns[c.address], c)
 }
 
-// Trim closes the connections that have been idle for longer than their limit.
-func (p *Pool) Trim() {
+// CloseExpired closes the connections that have been idle for longer than their limit.
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -112,8 +112,8 @@
 	}
 }
 
-// Drop closes the idle connections to the address of an endpoint that is gone.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to the address of an endpoint that is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idleConns[address] {
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -51,7 +51,7 @@
 func TestConnectTimeout(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	p := NewPool(Idle{}, 20*time.Millisecond, time.Now)
+	p := NewPool(IdleLimits{}, 20*time.Millisecond, time.Now)
 	_, err := p.Send(ctx, unresponsiveAddress(t), &Request{Method: http.MethodPost, Target: "/", Host: "host.example", Header: http.Header{}})
 	var failure *Error
 	if !errors.As(err, &failure) || failure.Stage != Connecting || failure.Outcome != problem.NotRun || ctx.Err() != nil {
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -37,13 +37,13 @@
 	// Repeatable reports that the request may run again, so that a connection that has been idle for longer may be
 	// reused.
 	Repeatable bool
-	// Owns reports whether a response belongs to this request; fresh means that the connection has carried no other
+	// Matches reports whether a response belongs to this request; fresh means that the connection has carried no other
 	// request.
-	Owns func(a *http.Response, fresh bool) bool
+	Matches func(a *http.Response, fresh bool) bool
 }
 
-// Answer is a response whose header has arrived.
-type Answer struct {
+// Response is a response whose header has arrived.
+type Response struct {
 	Status int
 	Header http.Header
 	// Fresh reports that the connection was opened for this request.
@@ -74,8 +74,8 @@
 }
 
 // Send sends the request to the address and returns its response once the header has arrived; the body is read with
-// Answer.Read. A failure is of type *Error.
-func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Answer, error) {
+// Response.Read. A failure is of type *Error.
+func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Response, error) {
 	c, err := p.getConn(ctx, address, r.Repeatable)
 	if err != nil {
 		return nil, &Error{Address: address, Stage: Connecting, Outcome: problem.NotRun, Cause: err}
@@ -88,7 +88,7 @@
 		if ctx.Err() != nil {
 			err = errors.Join(ctx.Err(), err)
 		}
-		return &Error{Address: address, Stage: stage, Outcome: outcome, Kept: reused, Cause: err}
+		return &Error{Address: address, Stage: stage, Outcome: outcome, Reused: reused, Cause: err}
 	}
 	head := r.head()
 	written, n, err := write(c, head, r.Body)
@@ -99,11 +99,11 @@
 		}
 		return nil, fail(Writing, outcome, err)
 	}
-	response, err := readResponse(c, r, !reused) //nolint:bodyclose // Answer.Close closes the connection, and with it the body.
+	response, err := readResponse(c, r, !reused) //nolint:bodyclose // Response.Close closes the connection, and with it the body.
 	if err != nil {
 		return nil, fail(Awaiting, problem.Unknown, err)
 	}
-	return &Answer{
+	return &Response{
 		Status: response.StatusCode, Header: response.Header, Fresh: !reused, body: response.Body,
 		conn: c, pool: p, stop: stop, written: written, keepAlive: !response.Close && response.ProtoAtLeast(1, 1),
 	}, nil
@@ -140,56 +140,56 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if response.StatusCode != http.StatusSwitchingProtocols && r.Owns(response, fresh) {
+		if response.StatusCode != http.StatusSwitchingProtocols && r.Matches(response, fresh) {
 			return response, nil
 		}
 		unmatched++
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-			return nil, &ForeignAnswersError{Answers: unmatched}
+			return nil, &UnmatchedResponsesError{Responses: unmatched}
 		}
 	}
-	return nil, &ForeignAnswersError{Answers: maxUnmatchedResponses}
+	return nil, &UnmatchedResponsesError{Responses: maxUnmatchedResponses}
 }
 
 // Read reads the body; it returns io.EOF only at the end of a complete response.
-func (a *Answer) Read(b []byte) (int, error) {
-	n, err := a.body.Read(b)
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.release()
+		r.release()
 	}
 	return n, err
 }
 
 // release returns the connection to the pool if the exchange left it in a reusable state, and closes it otherwise.
-func (a *Answer) release() {
-	if a.done {
+func (r *Response) release() {
+	if r.done {
 		return
 	}
-	a.done = true
-	reusable := a.stop() && a.keepAlive && a.conn.reader.Buffered() == 0
+	r.done = true
+	reusable := r.stop() && r.keepAlive && r.conn.reader.Buffered() == 0
 	select {
-	case err := <-a.written:
+	case err := <-r.written:
 		reusable = reusable && err == nil
 	default:
 		reusable = false
 	}
 	if !reusable {
-		_ = a.conn.Close()
+		_ = r.conn.Close()
 		return
 	}
-	a.conn.idleLimit = idleLimit(a.Header)
-	a.pool.putIdle(a.conn)
+	r.conn.idleLimit = idleLimit(r.Header)
+	r.pool.putIdle(r.conn)
 }
 
 // Close ends the exchange. If the response was not read to its end, it closes the connection, which makes the endpoint
 // stop its work.
-func (a *Answer) Close() {
-	if a.done {
+func (r *Response) Close() {
+	if r.done {
 		return
 	}
-	a.done = true
-	a.stop()
-	_ = a.conn.Close()
+	r.done = true
+	r.stop()
+	_ = r.conn.Close()
 }
 
 // idleLimit returns how long an idle connection may be kept, according to the Keep-Alive header of the response.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -247,7 +247,7 @@
 	peer.receivedAt = now
 	for _, o := range m.GetOutstanding() {
 		delete(p.peerSums, o.GetEndpoint())
-		peer.recent[o.GetEndpoint()] = capacity.NewRecent(now, o.GetRecentTokens())
+		peer.recent[o.GetEndpoint()] = capacity.NewRecentTokens(now, o.GetRecentTokens())
 		peer.outcomes[o.GetEndpoint()] = capacity.Outcomes{Ended: o.GetRecentEnded(), Failed: o.GetRecentFailed(), At: now}
 		load := capacity.Outstanding{Requests: int(o.GetRequests()), HeldTokens: o.GetHeldTokens()}
 		copy(load.Waiting[:], o.GetWaiting())
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -89,8 +89,8 @@
 	Prepare(h http.Header, e EndpointHeaders)
 	// Forward sets the time left in headers that are sent to another gateway.
 	Forward(h http.Header, left time.Duration)
-	// Owns reports whether an answer belongs to the request with the ID; fresh means that its connection is new.
-	Owns(h http.Header, status int, id string, fresh bool) bool
+	// Matches reports whether an answer belongs to the request with the ID; fresh means that its connection is new.
+	Matches(h http.Header, status int, id string, fresh bool) bool
 	// Verdict reads an endpoint's answer.
 	Verdict(h http.Header, status int) Verdict
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -30,8 +30,8 @@
 	timer := j.startFirstTimer(d, cancel)
 	answer, err := g.peers.Send(ctx, d.gateway.ForwardAddress, &exchange.Request{
 		Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body, Repeatable: j.route.Repeatable(),
-		Owns: func(a *http.Response, _ bool) bool {
-			return a.Header.Get(outcomeHeader) != "" || g.cfg.Headers.Owns(a.Header, a.StatusCode, j.call.ID, false)
+		Matches: func(a *http.Response, _ bool) bool {
+			return a.Header.Get(outcomeHeader) != "" || g.cfg.Headers.Matches(a.Header, a.StatusCode, j.call.ID, false)
 		},
 	})
 	if err != nil {
@@ -57,7 +57,7 @@
 
 // recordForwardFailure records a failure that the gateway of another region answered with itself. Its region is not
 // tried again.
-func (j *job) recordForwardFailure(d decision, answer *exchange.Answer, o problem.Outcome) nextStep {
+func (j *job) recordForwardFailure(d decision, answer *exchange.Response, o problem.Outcome) nextStep {
 	j.tried[d.region] = true
 	if o != problem.NotRun {
 		j.sends++
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -90,8 +90,8 @@
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	g := &Gateway{
 		cfg: cfg, log: log, started: now, born: now.UnixMilli(), placer: newPlacer(cfg, source), state: newFleetState(cfg),
-		pool:    exchange.NewPool(exchange.Idle{Repeatable: repeatableIdleTimeout, Once: onceIdleTimeout}, endpointConnectTimeout, time.Now),
-		peers:   exchange.NewPool(exchange.Idle{Repeatable: idleTimeout / 2, Once: idleTimeout / 2}, peerConnectTimeout, time.Now),
+		pool:    exchange.NewPool(exchange.IdleLimits{Repeatable: repeatableIdleTimeout, NonRepeatable: onceIdleTimeout}, endpointConnectTimeout, time.Now),
+		peers:   exchange.NewPool(exchange.IdleLimits{Repeatable: idleTimeout / 2, NonRepeatable: idleTimeout / 2}, peerConnectTimeout, time.Now),
 		workCtx: workCtx, cancelWork: cancelWork, done: make(chan struct{}),
 	}
 	g.latencies = newLatencies(cfg.Metrics, g.pool)
@@ -179,8 +179,8 @@
 
 func (g *Gateway) trim(ctx context.Context) {
 	for clock.Sleep(ctx, trimPeriod) {
-		g.pool.Trim()
-		g.peers.Trim()
+		g.pool.CloseExpired()
+		g.peers.CloseExpired()
 	}
 }
 
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -52,7 +52,7 @@
 	h.Set("Patience", strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-func (testHeaderCodec) Owns(h http.Header, _ int, id string, fresh bool) bool {
+func (testHeaderCodec) Matches(h http.Header, _ int, id string, fresh bool) bool {
 	return h.Get("Id") == id || fresh && h.Get("Id") == ""
 }
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -12,24 +12,24 @@
 // latencies are the latency histograms of a gateway, by kind of route.
 type latencies struct {
 	// first is the time until an answer began, and whole until it ended.
-	first map[routes.Kind]*metrics.Times
-	whole map[routes.Kind]*metrics.Times
+	first map[routes.Kind]*metrics.Histogram
+	whole map[routes.Kind]*metrics.Histogram
 }
 
 // newLatencies adds the histograms, and the number of connections opened to endpoints, to a metrics set.
 func newLatencies(set *metrics.Set, pool *exchange.Pool) *latencies {
-	t := &latencies{first: map[routes.Kind]*metrics.Times{}, whole: map[routes.Kind]*metrics.Times{}}
+	t := &latencies{first: map[routes.Kind]*metrics.Histogram{}, whole: map[routes.Kind]*metrics.Histogram{}}
 	for _, kind := range []routes.Kind{routes.Unsafe, routes.Safe, routes.Stream} {
-		t.first[kind], t.whole[kind] = metrics.NewTimes(), metrics.NewTimes()
-		set.Add(kind.String()+"FirstMicros", t.first[kind])
-		set.Add(kind.String()+"WholeMicros", t.whole[kind])
+		t.first[kind], t.whole[kind] = metrics.NewHistogram(), metrics.NewHistogram()
+		set.Publish(kind.String()+"FirstMicros", t.first[kind])
+		set.Publish(kind.String()+"WholeMicros", t.whole[kind])
 	}
-	set.Add("connectionsOpened", expvar.Func(func() any { return pool.Opened() }))
+	set.Publish("connectionsOpened", expvar.Func(func() any { return pool.Opened() }))
 	return t
 }
 
 // record adds an answer that was sent in full.
 func (t *latencies) record(kind routes.Kind, received, first time.Time) {
-	t.first[kind].Note(first.Sub(received))
-	t.whole[kind].Note(time.Since(received))
+	t.first[kind].Observe(first.Sub(received))
+	t.whole[kind].Observe(time.Since(received))
 }
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -295,7 +295,7 @@
 		tokens += peer.recent[id].Tokens(now)
 		sum.outcomes = sum.outcomes.Plus(now, peer.outcomes[id])
 	}
-	sum.recent = capacity.NewRecent(now, tokens)
+	sum.recent = capacity.NewRecentTokens(now, tokens)
 	p.peerSums[id] = sum
 	return sum
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -39,7 +39,7 @@
 
 // relayStream passes events on as they arrive. A stream that breaks may be resumed at another endpoint. There is no
 // timeout between events: an engine that runs out of memory preempts a stream and continues it later.
-func (j *job) relayStream(ctx context.Context, answer *exchange.Answer, a *attempt, timer *firstTimer) (ending, nextStep) {
+func (j *job) relayStream(ctx context.Context, answer *exchange.Response, a *attempt, timer *firstTimer) (ending, nextStep) {
 	defer timer.stop()
 	if j.stream == nil {
 		j.stream = &callerStream{w: j.w, lastEvent: j.call.LastEvent}
@@ -83,7 +83,7 @@
 }
 
 // writeEvent sends one event to the caller.
-func (j *job) writeEvent(e event, answer *exchange.Answer) error {
+func (j *job) writeEvent(e event, answer *exchange.Response) error {
 	s := j.stream
 	if !s.started {
 		copyAnswerHeader(s.w.Header(), answer.Header)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -54,8 +54,8 @@
 	timer := j.startFirstTimer(d, cancel)
 	answer, err := g.pool.Send(ctx, d.endpoint.Address, &exchange.Request{
 		Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body, Repeatable: j.route.Repeatable(),
-		Owns: func(a *http.Response, fresh bool) bool {
-			return g.cfg.Headers.Owns(a.Header, a.StatusCode, j.call.ID, fresh)
+		Matches: func(a *http.Response, fresh bool) bool {
+			return g.cfg.Headers.Matches(a.Header, a.StatusCode, j.call.ID, fresh)
 		},
 	})
 	if err != nil {
@@ -165,7 +165,7 @@
 }
 
 // relayAnswer passes an answer on to the caller.
-func (j *job) relayAnswer(ctx context.Context, answer *exchange.Answer, verdict Verdict, a *attempt, timer *firstTimer) (ending, nextStep) {
+func (j *job) relayAnswer(ctx context.Context, answer *exchange.Response, verdict Verdict, a *attempt, timer *firstTimer) (ending, nextStep) {
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if success && (!verdict.Signed || answer.Header.Get("Content-Encoding") != "") {
 		return failed, j.recordFailure(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Unknown)
@@ -210,7 +210,7 @@
 }
 
 // readAnswer reads an answer of up to maxBufferedBytes; a longer one keeps the rest to be read.
-func readAnswer(answer *exchange.Answer) (*bufferedAnswer, error) {
+func readAnswer(answer *exchange.Response) (*bufferedAnswer, error) {
 	var b bytes.Buffer
 	n, err := b.ReadFrom(io.LimitReader(answer, maxBufferedBytes))
 	if err != nil {
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -358,7 +358,7 @@
 				Dur("silent", now.Sub(e.LastSeen)).Bool("cold", e.Cold(now)).Str("control", control).Msg("endpoint state updated")
 		}
 		if e.State == fleet.Gone {
-			g.pool.Drop(e.Address)
+			g.pool.CloseIdle(e.Address)
 		}
 	}
 }
--- a/inventory/name.go
+++ b/inventory/name.go
@@ -35,8 +35,8 @@
 	return s
 }
 
-// Served returns the name without its version, as callers request it.
-func (n Name) Served() string { return n.WithVersion("").String() }
+// WithoutVersion returns the name without its version, as callers request it.
+func (n Name) WithoutVersion() string { return n.WithVersion("").String() }
 
 // WithVersion returns the name with another version.
 func (n Name) WithVersion(version string) Name {
--- a/journal/fuzz_test.go
+++ b/journal/fuzz_test.go
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		_, again, err := Open(d, "disk-new")
-		if err != nil || again.Identity != c.Identity || again.Cut != 0 || !bytes.Equal(again.Snapshot, c.Snapshot) {
+		if err != nil || again.Identity != c.Identity || again.Truncated != 0 || !bytes.Equal(again.Snapshot, c.Snapshot) {
 			t.Fatalf("opened again: %+v, %v; before: %+v", again, err, c)
 		}
 		if want := append(recordTexts(c.Records), "next"); !slices.Equal(recordTexts(again.Records), want) {
--- a/journal/journal.go
+++ b/journal/journal.go
@@ -19,8 +19,8 @@
 	Snapshot []byte
 	// Records are those appended since the snapshot, in order.
 	Records [][]byte
-	// Cut is the number of bytes that were truncated, from the first record that a crash left incomplete or damaged.
-	Cut int64
+	// Truncated is the number of bytes that were truncated, from the first record that a crash left incomplete or damaged.
+	Truncated int64
 }
 
 // Journal appends records; it is not safe for concurrent use.
@@ -58,10 +58,10 @@
 	if err != nil {
 		return nil, Contents{}, err
 	}
-	c.Cut = int64(len(b)) - end
+	c.Truncated = int64(len(b)) - end
 	j.identity = c.Identity
 	j.size = end
-	return j, c, j.reopen(c.Cut > 0)
+	return j, c, j.reopen(c.Truncated > 0)
 }
 
 // parse returns the contents of a file and the offset after the last complete frame before any damage.
@@ -110,16 +110,16 @@
 	return ""
 }
 
-// reopen opens the file for appending, and truncates it to j.size if cut is
-// set. It syncs the file, since records that a crashed process wrote without a
-// sync have been read and must be durable before the caller relies on them.
-func (j *Journal) reopen(cut bool) error {
+// reopen opens the file for appending, and truncates it to j.size if truncate
+// is set. It syncs the file, since records that a crashed process wrote without
+// a sync have been read and must be durable before the caller relies on them.
+func (j *Journal) reopen(truncate bool) error {
 	f, err := j.files.Append(fileName)
 	if err != nil {
 		return j.fail("opening", fileName, err)
 	}
 	j.file = f
-	if cut {
+	if truncate {
 		if err := f.Truncate(j.size); err != nil {
 			return j.fail("truncation", fileName, err)
 		}
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -53,8 +53,8 @@
 		if diff := cmp.Diff([]string{"first", "second"}, recordTexts(c.Records)); diff != "" {
 			t.Fatalf("cut at byte %d: %s", n, diff)
 		}
-		if c.Cut != int64(n-before) {
-			t.Fatalf("cut at byte %d: %d bytes were truncated", n, c.Cut)
+		if c.Truncated != int64(n-before) {
+			t.Fatalf("cut at byte %d: %d bytes were truncated", n, c.Truncated)
 		}
 		if err := errors.Join(j.Append([]byte("next")), j.Sync()); err != nil {
 			t.Fatal(err)
--- a/ledger/atmostonce_test.go
+++ b/ledger/atmostonce_test.go
@@ -51,7 +51,7 @@
 		a.Handle(Claiming, reply)
 	}
 	if !a.Claimed() {
-		m.fail("last", fmt.Sprintf("the healed group does not claim: %+v", a.Seen()))
+		m.fail("last", fmt.Sprintf("the healed group does not claim: %+v", a.ClaimReplies()))
 	}
 }
 
--- a/ledger/attempt.go
+++ b/ledger/attempt.go
@@ -47,8 +47,8 @@
 // Chosen reports whether the ending was agreed on.
 func (a *Attempt) Chosen() bool { return a.chosen }
 
-// Seen returns the replies to the claim.
-func (a *Attempt) Seen() []Reply { return a.claimReplies }
+// ClaimReplies returns the replies to the claim.
+func (a *Attempt) ClaimReplies() []Reply { return a.claimReplies }
 
 // Call returns the record of the claim, with its ending if there is one.
 func (a *Attempt) Call() Record { return a.call }
--- a/ledger/domains.go
+++ b/ledger/domains.go
@@ -7,21 +7,21 @@
 
 // Placement describes how the replicas of a region are spread over its failure domains.
 type Placement struct {
-	// Fatal is the first domain whose loss leaves fewer replicas than a majority, or "" if there is no such domain.
-	Fatal string
-	// Better holds slots for which no domain is fatal, or nothing if the region has too few domains. It keeps as many of
-	// the present slots as possible.
-	Better []string
+	// FatalDomain is the first domain whose loss leaves fewer replicas than a majority, or "" if there is no such domain.
+	FatalDomain string
+	// Alternative holds slots for which no domain is fatal, or nothing if the region has too few domains. It keeps as many
+	// of the present slots as possible.
+	Alternative []string
 }
 
-// Place evaluates the slots by the failure domains of the region's instances; domains maps an instance to its domain. A
-// replica whose domain is not known counts in none.
-func Place(slots []string, domains map[string]string) Placement {
+// CheckPlacement evaluates the slots by the failure domains of the region's instances; domains maps an instance to its
+// domain. A replica whose domain is not known counts in none.
+func CheckPlacement(slots []string, domains map[string]string) Placement {
 	fatal := fatalDomain(slots, domains)
 	if fatal == "" {
 		return Placement{}
 	}
-	return Placement{Fatal: fatal, Better: spread(slots, domains)}
+	return Placement{FatalDomain: fatal, Alternative: spread(slots, domains)}
 }
 
 // fatalDomain returns the alphabetically first domain that holds more replicas than a majority can spare, or "".
--- a/ledger/machine_test.go
+++ b/ledger/machine_test.go
@@ -23,7 +23,7 @@
 	hasDisk bool
 	disk    []Change
 	alive   bool
-	// pendingSteps holds the steps of the replica's keeper that are still to be run, one at a time.
+	// pendingSteps holds the steps of the replica's reconciler that are still to be run, one at a time.
 	pendingSteps []func()
 }
 
@@ -150,14 +150,14 @@
 
 // resolveLostClaim checks the verdict on an attempt that lost its claim, and settles an ending that is not chosen yet.
 func (m *machine) resolveLostClaim(a *testAttempt) {
-	verdict, call := Judge(m.now, len(m.slots), a.Call().Attempt, a.Call().Digest, a.Seen())
+	verdict, call := Judge(m.now, len(m.slots), a.Call().Attempt, a.Call().Digest, a.ClaimReplies())
 	m.coverage[fmt.Sprint("verdict ", verdict)]++
 	switch {
 	case verdict == Answered && call.Chosen:
 		m.checkAgreed(a.key, call.Value)
 	case verdict == Answered:
 		m.settle(call, Value{})
-	case verdict == NoRoom:
+	case verdict == Full:
 		m.fail(a.key, "reported as not run")
 	}
 }
--- a/ledger/reconcile_test.go
+++ b/ledger/reconcile_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// planStep plans the next steps of a replica's keeper from the statuses of the replicas that it reaches.
+// planStep plans the next steps of a replica's reconciler from the statuses of the replicas that it reaches.
 func (m *machine) planStep(slot string, reached []string) {
 	n := m.nodes[slot]
 	statuses := map[string]Reply{}
@@ -84,7 +84,8 @@
 	return steps
 }
 
-// recoverAll runs the pending steps of each live replica's keeper and plans the next ones with all replicas reachable.
+// recoverAll runs the pending steps of each live replica's reconciler and plans the next ones with all replicas
+// reachable.
 func (m *machine) recoverAll() {
 	for _, s := range m.slots {
 		for m.nodes[s].alive && len(m.nodes[s].pendingSteps) > 0 {
@@ -96,7 +97,7 @@
 	}
 }
 
-// runStep runs the first pending step of a replica's keeper.
+// runStep runs the first pending step of a replica's reconciler.
 func (m *machine) runStep(slot string) {
 	n := m.nodes[slot]
 	if !n.alive || len(n.pendingSteps) == 0 {
--- a/ledger/verdict.go
+++ b/ledger/verdict.go
@@ -11,8 +11,8 @@
 	Unavailable Verdict = iota
 	// Stale means that the key is not known, and that it may have been tried in an epoch whose records are lost.
 	Stale
-	// NoRoom means that the key is not known and a majority of the replicas is full.
-	NoRoom
+	// Full means that the key is not known and a majority of the replicas is full.
+	Full
 	// Reused means that the key belongs to a request with another content.
 	Reused
 	// Running means that the call is in progress.
@@ -65,7 +65,7 @@
 	case counts[RefusedEpoch] > 0:
 		return Stale
 	case counts[RefusedFull] >= Quorum(n):
-		return NoRoom
+		return Full
 	default:
 		return Unavailable
 	}
--- a/limits/handover_test.go
+++ b/limits/handover_test.go
@@ -167,9 +167,9 @@
 	})
 }
 
-// TestHandoverFreesPart checks how long a region's share is unused after its owner has left: if the owner hands it
+// TestHandoverFreesShare checks how long a region's share is unused after its owner has left: if the owner hands it
 // over, if all of its answers are lost, and if it crashes.
-func TestHandoverFreesPart(t *testing.T) {
+func TestHandoverFreesShare(t *testing.T) {
 	tests := []struct {
 		name string
 		dies bool
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -246,7 +246,7 @@
 	})
 }
 
-func TestPartsSumToLimit(t *testing.T) {
+func TestRegionSharesSumToLimit(t *testing.T) {
 	for _, home := range []string{"lahore", "unknown"} {
 		var sum float64
 		for _, region := range regions {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -42,7 +42,7 @@
 	r.record(m, outcome{abandoned: true, correlationID: "a", abandonedAt: time.UnixMicro(7)}, "right")
 	sum := r.Merge(r)
 	got := []any{sum.Sent, sum.Whole, sum.Wrong, sum.Abandoned, sum.Failed[failureCut], sum.AskedTokens, sum.UsedTokens,
-		sum.ServedShare(), sum.Left["a"]}
+		sum.ServedShare(), sum.AbandonedAt["a"]}
 	if diff := cmp.Diff([]any{10, 4, 2, 2, 2, 1000, 20, 0.25, int64(7)}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/load/report.go
+++ b/load/report.go
@@ -31,7 +31,7 @@
 		Whole:         int64(r.Whole),
 		Wrong:         int64(r.Wrong),
 		Abandoned:     int64(r.Abandoned),
-		Moved:         int64(r.Moved),
+		Moved:         int64(r.Retried),
 		Failed:        failed,
 		AskedTokens:   int64(r.AskedTokens),
 		UsedTokens:    int64(r.UsedTokens),
--- a/load/result.go
+++ b/load/result.go
@@ -24,8 +24,8 @@
 	Whole     int
 	Wrong     int
 	Abandoned int
-	// Moved is the number of retries at another entry after one that did not run the request.
-	Moved       int
+	// Retried is the number of retries at another entry after one that did not run the request.
+	Retried     int
 	Failed      map[string]int
 	AskedTokens int
 	UsedTokens  int
@@ -40,9 +40,9 @@
 	BetweenTokens *hdrhistogram.Histogram
 	Finish        *hdrhistogram.Histogram
 	// Slowest are the requests with the longest times to the first token, the slowest first.
-	Slowest []Slow
-	// Left is the time at which the caller abandoned each stream, in Unix microseconds, by correlation id.
-	Left map[string]int64
+	Slowest []SlowRequest
+	// AbandonedAt is the time at which the caller abandoned each stream, in Unix microseconds, by correlation id.
+	AbandonedAt map[string]int64
 }
 
 // NewResult returns an empty result of a mix.
@@ -53,7 +53,7 @@
 		FirstToken:    newHistogram(),
 		BetweenTokens: newHistogram(),
 		Finish:        newHistogram(),
-		Left:          map[string]int64{},
+		AbandonedAt:   map[string]int64{},
 	}
 }
 
@@ -66,13 +66,13 @@
 		weight = 1
 	}
 	r.Sent++
-	r.Moved += o.retries
+	r.Retried += o.retries
 	r.AskedTokens += m.MaxTokens
 	r.UsedTokens += o.tokens
 	switch {
 	case o.abandoned:
 		r.Abandoned++
-		r.Left[o.correlationID] = o.abandonedAt.UnixMicro()
+		r.AbandonedAt[o.correlationID] = o.abandonedAt.UnixMicro()
 		return
 	case o.failure != "":
 		r.Failed[o.failure]++
@@ -92,22 +92,22 @@
 	recordDuration(r.Finish, o.finish)
 	if o.firstToken > 0 {
 		recordDuration(r.FirstToken, o.firstToken)
-		r.Slowest = slowest(append(r.Slowest, Slow{ID: o.correlationID, First: o.firstToken}))
+		r.Slowest = slowest(append(r.Slowest, SlowRequest{ID: o.correlationID, First: o.firstToken}))
 	}
 	for _, gap := range o.tokenGaps {
 		recordDuration(r.BetweenTokens, gap)
 	}
 }
 
-// Slow is a request, identified by its correlation id, with its time to the first token.
-type Slow struct {
+// SlowRequest is a request, identified by its correlation id, with its time to the first token.
+type SlowRequest struct {
 	ID    string
 	First time.Duration
 }
 
 // slowest returns the slowest requests, at most maxSlowest.
-func slowest(list []Slow) []Slow {
-	slices.SortFunc(list, func(a, b Slow) int { return cmp.Compare(b.First, a.First) })
+func slowest(list []SlowRequest) []SlowRequest {
+	slices.SortFunc(list, func(a, b SlowRequest) int { return cmp.Compare(b.First, a.First) })
 	return list[:min(len(list), maxSlowest)]
 }
 
@@ -123,7 +123,7 @@
 		sum.Whole += part.Whole
 		sum.Wrong += part.Wrong
 		sum.Abandoned += part.Abandoned
-		sum.Moved += part.Moved
+		sum.Retried += part.Retried
 		sum.AskedTokens += part.AskedTokens
 		sum.UsedTokens += part.UsedTokens
 		sum.ServedTokens += part.ServedTokens
@@ -132,8 +132,8 @@
 		for code, n := range part.Failed {
 			sum.Failed[code] += n
 		}
-		for id, at := range part.Left {
-			sum.Left[id] = at
+		for id, at := range part.AbandonedAt {
+			sum.AbandonedAt[id] = at
 		}
 		sum.Slowest = slowest(append(sum.Slowest, part.Slowest...))
 		sum.FirstToken.Merge(part.FirstToken)
--- a/load/table.go
+++ b/load/table.go
@@ -16,7 +16,7 @@
 func (r Result) WriteTable(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: sent %d, whole %d, wrong %d, abandoned %d, moved %d, failed %s, served %.4f, tokens asked %d and used %d\n",
-		r.Mix, r.Sent, r.Whole, r.Wrong, r.Abandoned, r.Moved, formatFailures(r.Failed), r.ServedShare(), r.AskedTokens,
+		r.Mix, r.Sent, r.Whole, r.Wrong, r.Abandoned, r.Retried, formatFailures(r.Failed), r.ServedShare(), r.AskedTokens,
 		r.UsedTokens)
 	fmt.Fprintf(&b, "%-14s %10s %10s %10s %10s\n", "milliseconds", "p50", "p95", "p99", "max")
 	writeRow(&b, "first token", r.FirstToken)
--- a/logs/writer.go
+++ b/logs/writer.go
@@ -21,7 +21,7 @@
 
 // Writer is an io.Writer of whole lines that never blocks.
 type Writer struct {
-	queue        *ring.Ring[[]byte]
+	queue        *ring.Queue[[]byte]
 	unreported   atomic.Int64
 	totalDropped atomic.Int64
 	stop         chan struct{}
--- a/membership/entry.go
+++ b/membership/entry.go
@@ -57,9 +57,10 @@
 	return &Entries{entries: map[string]Entry{}, lastSeen: map[string]time.Time{}, ttl: ttl}
 }
 
-// Hear updates an entry from an advert received at the given time. An advert that is not newer than one received within
-// the time to live is ignored, so that adverts repeated by peers neither undo a later one nor keep a dead entry alive.
-func (s *Entries) Hear(at time.Time, e Entry) {
+// Update updates an entry from an advert received at the given time. An advert that is not newer than one received
+// within the time to live is ignored, so that adverts repeated by peers neither undo a later one nor keep a dead entry
+// alive.
+func (s *Entries) Update(at time.Time, e Entry) {
 	seen, ok := s.lastSeen[e.Name]
 	if ok && at.Sub(seen) <= s.ttl && !e.newer(s.entries[e.Name]) {
 		return
--- a/membership/entry_test.go
+++ b/membership/entry_test.go
@@ -27,8 +27,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := NewEntries(ttl)
-			s.Hear(start, advert(1, 5, true))
-			s.Hear(start.Add(tt.after), tt.then)
+			s.Update(start, advert(1, 5, true))
+			s.Update(start.Add(tt.after), tt.then)
 			if got := s.entries["e"].Leaving; got != tt.wantLeaving {
 				t.Errorf("leaving %v", got)
 			}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -47,49 +47,49 @@
 	lastSeen time.Time
 }
 
-// Share replicates the items of each origin to all instances by delta gossip over any partners; it is not safe for
+// Gossip replicates the items of each origin to all instances by delta gossip over any partners; it is not safe for
 // concurrent use.
 //
 // One heartbeat counter covers all items of an origin. The items are considered
 // live while the counter rises; an old count repeated by others does not keep the
 // origin alive.
-type Share[T any] struct {
+type Gossip[T any] struct {
 	self    *origin[T]
 	origins map[string]*origin[T]
 }
 
-// NewShare returns the share of the origin self, whose incarnation must be higher than at its earlier starts.
-func NewShare[T any](now time.Time, self string, incarnation int64) *Share[T] {
+// NewGossip returns the gossip state of the origin self, whose incarnation must be higher than at its earlier starts.
+func NewGossip[T any](now time.Time, self string, incarnation int64) *Gossip[T] {
 	own := &origin[T]{mark: Mark{Origin: self, Incarnation: incarnation}, items: map[string]Item[T]{}, lastSeen: now}
-	return &Share[T]{self: own, origins: map[string]*origin[T]{self: own}}
+	return &Gossip[T]{self: own, origins: map[string]*origin[T]{self: own}}
 }
 
 // Put publishes a value under a key.
-func (s *Share[T]) Put(key string, value T) {
-	s.self.mark.Version++
-	s.self.items[key] = Item[T]{Key: key, Version: s.self.mark.Version, Value: value}
+func (g *Gossip[T]) Put(key string, value T) {
+	g.self.mark.Version++
+	g.self.items[key] = Item[T]{Key: key, Version: g.self.mark.Version, Value: value}
 }
 
 // Drop withdraws the value published under a key.
-func (s *Share[T]) Drop(key string) {
-	if item, ok := s.self.items[key]; !ok || item.Dropped {
+func (g *Gossip[T]) Drop(key string) {
+	if item, ok := g.self.items[key]; !ok || item.Dropped {
 		return
 	}
-	s.self.mark.Version++
-	s.self.items[key] = Item[T]{Key: key, Version: s.self.mark.Version, Dropped: true}
-	s.self.prune()
+	g.self.mark.Version++
+	g.self.items[key] = Item[T]{Key: key, Version: g.self.mark.Version, Dropped: true}
+	g.self.prune()
 }
 
-// Told returns the value that the own origin publishes under a key.
-func (s *Share[T]) Told(key string) (value T, ok bool) {
-	item, ok := s.self.items[key]
+// Get returns the value that the own origin publishes under a key.
+func (g *Gossip[T]) Get(key string) (value T, ok bool) {
+	item, ok := g.self.items[key]
 	return item.Value, ok && !item.Dropped
 }
 
 // Keys returns the keys that the own origin publishes, in order.
-func (s *Share[T]) Keys() []string {
+func (g *Gossip[T]) Keys() []string {
 	var keys []string
-	for key, item := range s.self.items {
+	for key, item := range g.self.items {
 		if !item.Dropped {
 			keys = append(keys, key)
 		}
@@ -99,9 +99,9 @@
 }
 
 // Beat raises the heartbeat counter of the own origin.
-func (s *Share[T]) Beat(now time.Time) {
-	s.self.mark.Beat++
-	s.self.lastSeen = now
+func (g *Gossip[T]) Beat(now time.Time) {
+	g.self.mark.Beat++
+	g.self.lastSeen = now
 }
 
 // prune deletes the older half of the dropped items if there are more than maxDroppedItems.
@@ -134,10 +134,10 @@
 }
 
 // Marks returns the known mark of each origin that is live within ttl, ordered by name.
-func (s *Share[T]) Marks(now time.Time, ttl time.Duration) []Mark {
-	marks := make([]Mark, 0, len(s.origins))
-	for _, name := range slices.Sorted(maps.Keys(s.origins)) {
-		if o := s.origins[name]; o.live(now, ttl) {
+func (g *Gossip[T]) Marks(now time.Time, ttl time.Duration) []Mark {
+	marks := make([]Mark, 0, len(g.origins))
+	for _, name := range slices.Sorted(maps.Keys(g.origins)) {
+		if o := g.origins[name]; o.live(now, ttl) {
 			marks = append(marks, o.mark)
 		}
 	}
@@ -149,15 +149,15 @@
 // An expired origin is kept but not sent, so that old state repeated by others does not revive it.
 func (o *origin[T]) live(now time.Time, ttl time.Duration) bool { return now.Sub(o.lastSeen) <= ttl }
 
-// Missing returns the deltas that a partner with the given marks lacks, for the origins that are live within ttl.
-func (s *Share[T]) Missing(now time.Time, ttl time.Duration, marks []Mark) []Delta[T] {
+// DeltasSince returns the deltas that a partner with the given marks lacks, for the origins that are live within ttl.
+func (g *Gossip[T]) DeltasSince(now time.Time, ttl time.Duration, marks []Mark) []Delta[T] {
 	known := map[string]Mark{}
 	for _, m := range marks {
 		known[m.Origin] = m
 	}
 	var deltas []Delta[T]
-	for _, name := range slices.Sorted(maps.Keys(s.origins)) {
-		o := s.origins[name]
+	for _, name := range slices.Sorted(maps.Keys(g.origins)) {
+		o := g.origins[name]
 		if !o.live(now, ttl) {
 			continue
 		}
@@ -187,17 +187,17 @@
 	return d, true
 }
 
-// Learn applies deltas from a partner. The items of a delta that is not newer than the known state of its origin, or
+// Apply applies deltas from a partner. The items of a delta that is not newer than the known state of its origin, or
 // that leaves a gap after it, are ignored.
-func (s *Share[T]) Learn(now time.Time, deltas []Delta[T]) {
+func (g *Gossip[T]) Apply(now time.Time, deltas []Delta[T]) {
 	for _, d := range deltas {
-		if d.Mark.Origin == s.self.mark.Origin {
+		if d.Mark.Origin == g.self.mark.Origin {
 			continue
 		}
-		o := s.origins[d.Mark.Origin]
+		o := g.origins[d.Mark.Origin]
 		switch {
 		case o == nil || d.Mark.Incarnation > o.mark.Incarnation:
-			s.replace(now, d)
+			g.replace(now, d)
 		case d.Mark.Incarnation == o.mark.Incarnation:
 			o.merge(now, d)
 		}
@@ -205,7 +205,7 @@
 }
 
 // replace installs the full state of an origin that is new or has restarted; other deltas are ignored.
-func (s *Share[T]) replace(now time.Time, d Delta[T]) {
+func (g *Gossip[T]) replace(now time.Time, d Delta[T]) {
 	if !d.Full {
 		return
 	}
@@ -213,7 +213,7 @@
 	for _, item := range d.Items {
 		o.items[item.Key] = item
 	}
-	s.origins[d.Mark.Origin] = o
+	g.origins[d.Mark.Origin] = o
 }
 
 // merge applies a delta of the same incarnation.
@@ -237,21 +237,21 @@
 	}
 }
 
-// Forget deletes the origins that were last seen longer ago than both ttl and originRetention.
-func (s *Share[T]) Forget(now time.Time, ttl time.Duration) {
-	for name, o := range s.origins {
+// DeleteExpired deletes the origins that were last seen longer ago than both ttl and originRetention.
+func (g *Gossip[T]) DeleteExpired(now time.Time, ttl time.Duration) {
+	for name, o := range g.origins {
 		age := now.Sub(o.lastSeen)
-		if o != s.self && age > max(ttl, originRetention) {
-			delete(s.origins, name)
+		if o != g.self && age > max(ttl, originRetention) {
+			delete(g.origins, name)
 		}
 	}
 }
 
 // Live returns the origins last seen within ttl, ordered by name, and always the own one.
-func (s *Share[T]) Live(now time.Time, ttl time.Duration) []string {
+func (g *Gossip[T]) Live(now time.Time, ttl time.Duration) []string {
 	var live []string
-	for name, o := range s.origins {
-		if o == s.self || now.Sub(o.lastSeen) <= ttl {
+	for name, o := range g.origins {
+		if o == g.self || now.Sub(o.lastSeen) <= ttl {
 			live = append(live, name)
 		}
 	}
@@ -260,9 +260,9 @@
 }
 
 // Each calls f for each item of the own origin and of the origins that are live within ttl, in no particular order.
-func (s *Share[T]) Each(now time.Time, ttl time.Duration, f func(origin, key string, value T)) {
-	for name, o := range s.origins {
-		if o != s.self && now.Sub(o.lastSeen) > ttl {
+func (g *Gossip[T]) Each(now time.Time, ttl time.Duration, f func(origin, key string, value T)) {
+	for name, o := range g.origins {
+		if o != g.self && now.Sub(o.lastSeen) > ttl {
 			continue
 		}
 		for key, item := range o.items {
--- a/membership/gossip_order_test.go
+++ b/membership/gossip_order_test.go
@@ -6,16 +6,16 @@
 )
 
 // TestLateDeltas applies the deltas of an origin out of order: a delta that leaves a gap must not be applied, and an
-// older one must not undo a later one. TestShareUnderFaults reaches these orders too rarely.
+// older one must not undo a later one. TestGossipUnderFaults reaches these orders too rarely.
 func TestLateDeltas(t *testing.T) {
 	start := time.Unix(1000, 0)
-	origin := NewShare[int](start, "origin", 1)
+	origin := NewGossip[int](start, "origin", 1)
 	deltasSince := func(since uint64) []Delta[int] {
-		return origin.Missing(start, shareTTL, []Mark{{Origin: "origin", Incarnation: 1, Version: since}})
+		return origin.DeltasSince(start, gossipTTL, []Mark{{Origin: "origin", Incarnation: 1, Version: since}})
 	}
 	origin.Put("a", 1)
 	origin.Beat(start)
-	full := origin.Missing(start, shareTTL, nil)
+	full := origin.DeltasSince(start, gossipTTL, nil)
 	origin.Put("b", 2)
 	second := deltasSince(1)
 	origin.Put("a", 3)
@@ -32,22 +32,22 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := NewShare[int](start, "entry", 1)
+			s := NewGossip[int](start, "entry", 1)
 			for _, deltas := range tt.deltas {
-				s.Learn(start, deltas)
+				s.Apply(start, deltas)
 			}
 			got := map[string]int{}
-			s.Each(start, shareTTL, func(_, key string, value int) { got[key] = value })
+			s.Each(start, gossipTTL, func(_, key string, value int) { got[key] = value })
 			if got["a"] != tt.a || got["b"] != tt.b {
 				t.Errorf("the entry has %v, want a %d and b %d", got, tt.a, tt.b)
 			}
 		})
 	}
 	t.Run("a repeated beat does not keep an origin alive", func(t *testing.T) {
-		s := NewShare[int](start, "entry", 1)
-		s.Learn(start, full)
-		s.Learn(start.Add(shareTTL), full)
-		if live := s.Live(start.Add(shareTTL+time.Second), shareTTL); len(live) != 1 {
+		s := NewGossip[int](start, "entry", 1)
+		s.Apply(start, full)
+		s.Apply(start.Add(gossipTTL), full)
+		if live := s.Live(start.Add(gossipTTL+time.Second), gossipTTL); len(live) != 1 {
 			t.Errorf("live origins are %v", live)
 		}
 	})
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-const shareTTL = 3 * time.Second
+const gossipTTL = 3 * time.Second
 
-// shareCluster is a set of entries that exchange values by messages that may be lost, duplicated and delayed.
-type shareCluster struct {
+// gossipCluster is a set of entries that exchange values by messages that may be lost, duplicated and delayed.
+type gossipCluster struct {
 	now       time.Time
 	names     []string
-	shares    map[string]*Share[int]
+	replicas  map[string]*Gossip[int]
 	published map[string]map[string]int
 	starts    int64
 	sent      []func()
@@ -25,9 +25,9 @@
 	highestMark map[string]Mark
 }
 
-func newShareCluster(n int) *shareCluster {
-	m := &shareCluster{
-		now: time.Unix(1000, 0), shares: map[string]*Share[int]{}, published: map[string]map[string]int{},
+func newGossipCluster(n int) *gossipCluster {
+	m := &gossipCluster{
+		now: time.Unix(1000, 0), replicas: map[string]*Gossip[int]{}, published: map[string]map[string]int{},
 		highestMark: map[string]Mark{},
 	}
 	for i := range n {
@@ -37,9 +37,9 @@
 	return m
 }
 
-func (m *shareCluster) restart(name string) {
+func (m *gossipCluster) restart(name string) {
 	m.starts++
-	m.shares[name] = NewShare[int](m.now, name, m.starts)
+	m.replicas[name] = NewGossip[int](m.now, name, m.starts)
 	m.published[name] = map[string]int{}
 	for _, origin := range m.names {
 		delete(m.highestMark, name+"<"+origin)
@@ -47,18 +47,18 @@
 }
 
 // ask queues the marks of one entry for another, whose answer is queued in turn.
-func (m *shareCluster) ask(from, to string) {
-	marks := m.shares[from].Marks(m.now, shareTTL)
+func (m *gossipCluster) ask(from, to string) {
+	marks := m.replicas[from].Marks(m.now, gossipTTL)
 	m.sent = append(m.sent, func() {
-		deltas := m.shares[to].Missing(m.now, shareTTL, marks)
-		m.sent = append(m.sent, func() { m.shares[from].Learn(m.now, deltas) })
+		deltas := m.replicas[to].DeltasSince(m.now, gossipTTL, marks)
+		m.sent = append(m.sent, func() { m.replicas[from].Apply(m.now, deltas) })
 	})
 }
 
 // check fails if an entry went back to an older mark of an origin.
-func (m *shareCluster) check(t *rapid.T) {
+func (m *gossipCluster) check(t *rapid.T) {
 	for _, name := range m.names {
-		for _, mark := range m.shares[name].Marks(m.now, shareTTL) {
+		for _, mark := range m.replicas[name].Marks(m.now, gossipTTL) {
 			before := m.highestMark[name+"<"+mark.Origin]
 			older := mark.Incarnation < before.Incarnation ||
 				(mark.Incarnation == before.Incarnation && (mark.Version < before.Version || mark.Beat < before.Beat))
@@ -71,9 +71,9 @@
 }
 
 // values returns the live values at an entry by origin and key.
-func (m *shareCluster) values(name string) map[string]map[string]int {
+func (m *gossipCluster) values(name string) map[string]map[string]int {
 	seen := map[string]map[string]int{}
-	m.shares[name].Each(m.now, shareTTL, func(origin, key string, value int) {
+	m.replicas[name].Each(m.now, gossipTTL, func(origin, key string, value int) {
 		if seen[origin] == nil {
 			seen[origin] = map[string]int{}
 		}
@@ -82,11 +82,11 @@
 	return seen
 }
 
-// TestShareUnderFaults checks that entries never go back to an older mark under loss, duplication, delay and restarts,
+// TestGossipUnderFaults checks that entries never go back to an older mark under loss, duplication, delay and restarts,
 // that they agree afterwards, and that the values of a stopped entry expire.
-func TestShareUnderFaults(t *testing.T) {
+func TestGossipUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newShareCluster(rapid.IntRange(2, 4).Draw(t, "entries"))
+		m := newGossipCluster(rapid.IntRange(2, 4).Draw(t, "entries"))
 		entry := rapid.SampledFrom(m.names)
 		key := rapid.SampledFrom([]string{"a", "b", "c"})
 		run := func(t *rapid.T, remove bool) {
@@ -103,15 +103,15 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				e, k, v := entry.Draw(t, "entry"), key.Draw(t, "key"), rapid.IntRange(0, 9).Draw(t, "value")
-				m.shares[e].Put(k, v)
+				m.replicas[e].Put(k, v)
 				m.published[e][k] = v
 			},
 			"drop": func(t *rapid.T) {
 				e, k := entry.Draw(t, "entry"), key.Draw(t, "key")
-				m.shares[e].Drop(k)
+				m.replicas[e].Drop(k)
 				delete(m.published[e], k)
 			},
-			"beat":      func(t *rapid.T) { m.shares[entry.Draw(t, "entry")].Beat(m.now) },
+			"beat":      func(t *rapid.T) { m.replicas[entry.Draw(t, "entry")].Beat(m.now) },
 			"ask":       func(t *rapid.T) { m.ask(entry.Draw(t, "from"), entry.Draw(t, "to")) },
 			"deliver":   func(t *rapid.T) { run(t, true) },
 			"duplicate": func(t *rapid.T) { run(t, false) },
@@ -132,10 +132,10 @@
 }
 
 // checkConvergence exchanges the deltas of all entries without loss and checks that they agree.
-func (m *shareCluster) checkConvergence(t *rapid.T) {
+func (m *gossipCluster) checkConvergence(t *rapid.T) {
 	m.sent = nil
 	for _, name := range m.names {
-		m.shares[name].Beat(m.now)
+		m.replicas[name].Beat(m.now)
 	}
 	for range len(m.names) {
 		for _, from := range m.names {
@@ -163,20 +163,20 @@
 }
 
 // checkExpiry stops the first entry and checks that its values expire at the others, although these go on exchanging.
-func (m *shareCluster) checkExpiry(t *rapid.T) {
-	silent := m.names[0]
+func (m *gossipCluster) checkExpiry(t *rapid.T) {
+	stopped := m.names[0]
 	for range 8 {
-		m.now = m.now.Add(shareTTL / 4)
+		m.now = m.now.Add(gossipTTL / 4)
 		for _, name := range m.names[1:] {
-			m.shares[name].Beat(m.now)
+			m.replicas[name].Beat(m.now)
 			for _, other := range m.names[1:] {
-				m.shares[name].Learn(m.now, m.shares[other].Missing(m.now, shareTTL, m.shares[name].Marks(m.now, shareTTL)))
+				m.replicas[name].Apply(m.now, m.replicas[other].DeltasSince(m.now, gossipTTL, m.replicas[name].Marks(m.now, gossipTTL)))
 			}
 		}
 	}
 	for _, name := range m.names[1:] {
-		if _, ok := m.values(name)[silent]; ok {
-			t.Fatalf("%s still has values of %s", name, silent)
+		if _, ok := m.values(name)[stopped]; ok {
+			t.Fatalf("%s still has values of %s", name, stopped)
 		}
 	}
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -60,8 +60,8 @@
 	Name        string
 	Incarnation int64
 	Sequence    int64
-	// Whole is the sequence of the full announcement that is renewed.
-	Whole int64
+	// FullSequence is the sequence of the full announcement that is renewed.
+	FullSequence int64
 	// Load is nil if it has not changed.
 	Load        *Load
 	CacheEvents []CacheEvent
@@ -74,7 +74,7 @@
 func (t *Table) Renew(now time.Time, r Renewal, lease time.Duration) bool {
 	known, ok := t.records[r.Name]
 	e := known.endpoint
-	if !ok || !now.Before(known.expires) || e.Incarnation != r.Incarnation || known.fullSequence != r.Whole || e.Leaving {
+	if !ok || !now.Before(known.expires) || e.Incarnation != r.Incarnation || known.fullSequence != r.FullSequence || e.Leaving {
 		return false
 	}
 	if r.Sequence <= e.Sequence {
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -70,7 +70,7 @@
 		return
 	}
 	e := p.endpoint
-	m.tables[i].Renew(m.now, Renewal{Name: e.Name, Incarnation: e.Incarnation, Sequence: e.Sequence, Whole: p.renews}, testLease)
+	m.tables[i].Renew(m.now, Renewal{Name: e.Name, Incarnation: e.Incarnation, Sequence: e.Sequence, FullSequence: p.renews}, testLease)
 	for _, held := range m.tables[i].Endpoints(m.now) {
 		if m.latest[i].newer(held) {
 			t.Fatalf("table %d went from %d/%d to %d/%d by a renewal", i, m.latest[i].Incarnation, m.latest[i].Sequence, held.Incarnation, held.Sequence)
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -24,14 +24,14 @@
 	requests expvar.Map
 	tokens   expvar.Int
 	active   expvar.Int
-	added    *Times
+	added    *Histogram
 }
 
 var _ expvar.Var = (*Set)(nil)
 
 // New returns a set with all counters at zero.
 func New() *Set {
-	s := &Set{added: NewTimes()}
+	s := &Set{added: NewHistogram()}
 	s.vars.Set("requests", &s.requests)
 	s.vars.Set("tokens", &s.tokens)
 	s.vars.Set("active", &s.active)
@@ -42,8 +42,8 @@
 // String returns the counters as JSON.
 func (s *Set) String() string { return s.vars.String() }
 
-// Add adds a variable to the set under a name.
-func (s *Set) Add(name string, v expvar.Var) { s.vars.Set(name, v) }
+// Publish adds a variable to the set under a name.
+func (s *Set) Publish(name string, v expvar.Var) { s.vars.Set(name, v) }
 
 // Begin counts a request in progress.
 func (s *Set) Begin() { s.active.Add(1) }
@@ -57,41 +57,43 @@
 // Tokens counts tokens sent to callers.
 func (s *Set) Tokens(n int) { s.tokens.Add(int64(n)) }
 
-// Added records the latency that the process itself added to the first token of an answer.
-func (s *Set) Added(d time.Duration) { s.added.Note(d) }
+// ObserveAddedLatency records the latency that the process itself added to the first token of an answer.
+func (s *Set) ObserveAddedLatency(d time.Duration) { s.added.Observe(d) }
 
-// Times is a histogram of durations; its zero value is not ready for use.
-type Times struct {
+// Histogram is a histogram of durations; its zero value is not ready for use.
+type Histogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
-// NewTimes returns an empty histogram.
-func NewTimes() *Times { return &Times{histogram: hdrhistogram.New(1, maxMicros, histogramDigits)} }
+// NewHistogram returns an empty histogram.
+func NewHistogram() *Histogram {
+	return &Histogram{histogram: hdrhistogram.New(1, maxMicros, histogramDigits)}
+}
 
-var _ expvar.Var = (*Times)(nil)
+var _ expvar.Var = (*Histogram)(nil)
 
-// Note records a duration, clamped to the range from 1 µs to 10 s.
-func (t *Times) Note(d time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	_ = t.histogram.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
+// Observe records a duration, clamped to the range from 1 µs to 10 s.
+func (h *Histogram) Observe(d time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_ = h.histogram.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
 // String returns the number of durations and their quantiles in microseconds as JSON.
-func (t *Times) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (h *Histogram) String() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var m expvar.Map
 	set := func(name string, value int64) {
 		v := new(expvar.Int)
 		v.Set(value)
 		m.Set(name, v)
 	}
-	set("count", t.histogram.TotalCount())
-	set("p50", t.histogram.ValueAtQuantile(50))
-	set("p99", t.histogram.ValueAtQuantile(99))
-	set("max", t.histogram.Max())
+	set("count", h.histogram.TotalCount())
+	set("p50", h.histogram.ValueAtQuantile(50))
+	set("p99", h.histogram.ValueAtQuantile(99))
+	set("max", h.histogram.Max())
 	return m.String()
 }
 
--- a/metrics/set_test.go
+++ b/metrics/set_test.go
@@ -15,7 +15,7 @@
 	s.End()
 	s.Count("answered")
 	s.Tokens(3)
-	s.Added(200 * time.Microsecond)
+	s.ObserveAddedLatency(200 * time.Microsecond)
 	var got any
 	if err := json.Unmarshal([]byte(s.String()), &got); err != nil {
 		t.Fatal(err)
--- a/operator/authorization.go
+++ b/operator/authorization.go
@@ -15,22 +15,22 @@
 	"arbutusreel/wiregen"
 )
 
-// Guard serves requests that carry the operators' token.
-type Guard struct {
+// Authorizer serves requests that carry the operators' token.
+type Authorizer struct {
 	digest   string
 	maxBytes int64
 }
 
-// NewGuard returns a guard that accepts the token with the given SHA-256 digest, in lower-case hexadecimal, and reads
-// at most maxBytes of a request body. With an empty digest it refuses every request.
-func NewGuard(digest string, maxBytes int64) Guard {
-	return Guard{digest: digest, maxBytes: maxBytes}
+// NewAuthorizer returns an authorizer that accepts the token with the given SHA-256 digest, in lower-case hexadecimal,
+// and reads at most maxBytes of a request body. With an empty digest it refuses every request.
+func NewAuthorizer(digest string, maxBytes int64) Authorizer {
+	return Authorizer{digest: digest, maxBytes: maxBytes}
 }
 
 // Handle returns an HTTP handler that writes the message returned by handler as JSON, or its error as a problem.
-func (g Guard) Handle(handler func(*http.Request) (proto.Message, error)) http.HandlerFunc {
+func (a Authorizer) Handle(handler func(*http.Request) (proto.Message, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		b, err := g.serve(w, r, handler)
+		b, err := a.serve(w, r, handler)
 		if err != nil {
 			problem.Write(w, problem.From(err), "")
 			return
@@ -40,11 +40,11 @@
 	}
 }
 
-func (g Guard) serve(w http.ResponseWriter, r *http.Request, handler func(*http.Request) (proto.Message, error)) ([]byte, error) {
-	if err := authorize(r, g.digest); err != nil {
+func (a Authorizer) serve(w http.ResponseWriter, r *http.Request, handler func(*http.Request) (proto.Message, error)) ([]byte, error) {
+	if err := authorize(r, a.digest); err != nil {
 		return nil, err
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, g.maxBytes)
+	r.Body = http.MaxBytesReader(w, r.Body, a.maxBytes)
 	reply, err := handler(r)
 	if err != nil {
 		return nil, err
--- a/operator/client.go
+++ b/operator/client.go
@@ -49,7 +49,7 @@
 }
 
 // Apply proposes a new inventory. A refusal returns *problem.Problem. If no voter decided before ctx ended, Apply
-// returns *UndecidedError if the change may have been accepted, and *UnreachableError if it was not. The change id
+// returns *OutcomeUnknownError if the change may have been accepted, and *UnreachableError if it was not. The change id
 // makes it safe to send the request again.
 func (c *Client) Apply(ctx context.Context, m *wiregen.ApplyRequest) (*wiregen.ApplyReply, error) {
 	return c.proposeChange(ctx, "/v1/inventory", m.GetChangeId(), m)
@@ -63,9 +63,9 @@
 func (c *Client) proposeChange(ctx context.Context, path, changeID string, m proto.Message) (*wiregen.ApplyReply, error) {
 	reply := &wiregen.ApplyReply{}
 	err := c.do(ctx, http.MethodPost, path, m, reply)
-	var undecided *UndecidedError
-	if errors.As(err, &undecided) {
-		undecided.ChangeID = changeID
+	var unknown *OutcomeUnknownError
+	if errors.As(err, &unknown) {
+		unknown.ChangeID = changeID
 	}
 	return reply, err
 }
@@ -150,7 +150,7 @@
 			return err
 		}
 	}
-	undecided := false
+	unknown := false
 	for {
 		var lastErr error
 		for _, address := range c.controls {
@@ -162,14 +162,14 @@
 			if errors.As(err, &p) && !isTransient(p.Code) {
 				return p
 			}
-			undecided = undecided || method == http.MethodPost && mayHaveRun(err)
+			unknown = unknown || method == http.MethodPost && mayHaveRun(err)
 			lastErr = err
 		}
 		if pause(ctx, retryInterval) {
 			continue
 		}
-		if undecided {
-			return &UndecidedError{Cause: lastErr}
+		if unknown {
+			return &OutcomeUnknownError{Cause: lastErr}
 		}
 		return &UnreachableError{Controls: c.controls, Cause: lastErr}
 	}
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -16,19 +16,19 @@
 // Unwrap returns the last cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// UndecidedError reports that it is unknown whether a change was accepted.
-type UndecidedError struct {
+// OutcomeUnknownError reports that it is unknown whether a change was accepted.
+type OutcomeUnknownError struct {
 	ChangeID string
 	Cause    error
 }
 
 // Error names the change id and the last cause.
-func (e *UndecidedError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("outcomeUnknown: change %q may have been accepted; send it again with this change id: %v", e.ChangeID, e.Cause)
 }
 
 // Unwrap returns the last cause.
-func (e *UndecidedError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
 // NotInForceError reports that an accepted revision was not seen in force at every live instance in time.
 type NotInForceError struct {
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -15,11 +15,11 @@
 // decisionsTimeout limits the request to one instance, so that an unresponsive one does not delay the others.
 const decisionsTimeout = 2 * time.Second
 
-// Story contains the decisions that instances recorded about a subject.
-type Story struct {
+// Explanation contains the decisions that instances recorded about a subject.
+type Explanation struct {
 	Lines []string
-	// Silent lists the addresses that gave no answer.
-	Silent []string
+	// Unreachable lists the addresses that gave no answer.
+	Unreachable []string
 }
 
 // Entries returns the entries that the control voters know.
@@ -30,7 +30,7 @@
 
 // Explain requests the decisions about a subject from the control voters and from the entries at the addresses, all
 // concurrently, and merges the answers.
-func (c *Client) Explain(ctx context.Context, subject decision.Subject, entries []string) Story {
+func (c *Client) Explain(ctx context.Context, subject decision.Subject, entries []string) Explanation {
 	addresses := append(append([]string(nil), c.controls...), entries...)
 	lines := make([][]string, len(addresses))
 	errs := make([]error, len(addresses))
@@ -39,10 +39,10 @@
 		wg.Go(func() { lines[i], errs[i] = c.fetchDecisions(ctx, address, subject) })
 	}
 	wg.Wait()
-	explanation := Story{Lines: decision.Merge(lines...)}
+	explanation := Explanation{Lines: decision.Merge(lines...)}
 	for i, err := range errs {
 		if err != nil {
-			explanation.Silent = append(explanation.Silent, addresses[i])
+			explanation.Unreachable = append(explanation.Unreachable, addresses[i])
 		}
 	}
 	return explanation
--- a/placement/group.go
+++ b/placement/group.go
@@ -59,7 +59,7 @@
 		return h
 	}
 	n := inventory.ParseName(name)
-	h := holding{name: name, unit: indexOf(g.units, n.Served()), adapter: n.Adapter != ""}
+	h := holding{name: name, unit: indexOf(g.units, n.WithoutVersion()), adapter: n.Adapter != ""}
 	g.holdings[name] = h
 	return h
 }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -202,7 +202,7 @@
 	if c.Reason == NotAllowed {
 		return true
 	}
-	s := modelKey{region: c.Region, service: c.Service, model: inventory.ParseName(c.Load).Served()}
+	s := modelKey{region: c.Region, service: c.Service, model: inventory.ParseName(c.Load).WithoutVersion()}
 	seen[s] = true
 	if _, ok := p.needSince[s]; !ok {
 		p.needSince[s] = now
@@ -244,6 +244,6 @@
 // without its version.
 func matchesOrder(models, ordered []string) bool {
 	return len(models) == len(ordered) && !slices.ContainsFunc(ordered, func(name string) bool {
-		return !slices.Contains(models, name) && !slices.Contains(models, inventory.ParseName(name).Served())
+		return !slices.Contains(models, name) && !slices.Contains(models, inventory.ParseName(name).WithoutVersion())
 	})
 }
--- a/relay/errors.go
+++ b/relay/errors.go
@@ -16,13 +16,13 @@
 	return fmt.Sprintf("source %q has had no contact with a leader for %v", e.Address, e.Age)
 }
 
-// SilentSourceError is returned for a source that sent neither updates nor heartbeats within the limit.
-type SilentSourceError struct {
+// IdleSourceError is returned for a source that sent neither updates nor heartbeats within the limit.
+type IdleSourceError struct {
 	Address string
 	Limit   time.Duration
 }
 
 // Error returns a message with the source and the time.
-func (e *SilentSourceError) Error() string {
+func (e *IdleSourceError) Error() string {
 	return fmt.Sprintf("source %q has sent nothing for %v", e.Address, e.Limit)
 }
--- a/relay/follower.go
+++ b/relay/follower.go
@@ -161,7 +161,7 @@
 	for started := f.hub.now(); f.hub.now().Sub(started) < preferredRetryPeriod || f.sources()[0] == address; {
 		update, err := stream.Recv()
 		if err != nil && !idleTimer.Stop() {
-			return &SilentSourceError{Address: address, Limit: idleTimeout}
+			return &IdleSourceError{Address: address, Limit: idleTimeout}
 		}
 		if err != nil {
 			return err
@@ -179,7 +179,7 @@
 
 // apply puts an update into force; if its deltas do not fit, the inventory in force is kept.
 func (f *Follower) apply(m *wiregen.FollowUpdate) error {
-	f.hub.HeardLeader(f.hub.now().Add(-time.Duration(m.GetLeaderAgeMillis()) * time.Millisecond))
+	f.hub.RecordLeaderContact(f.hub.now().Add(-time.Duration(m.GetLeaderAgeMillis()) * time.Millisecond))
 	whole, changed, err := f.hub.apply(decodeUpdate(m))
 	f.wantsWhole.Store(err != nil)
 	if err != nil || !changed {
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -71,8 +71,8 @@
 	return u, ok, h.changed
 }
 
-// HeardLeader records the time of a contact with the quorum's leader, direct or through other instances.
-func (h *Hub) HeardLeader(at time.Time) {
+// RecordLeaderContact records the time of a contact with the quorum's leader, direct or through other instances.
+func (h *Hub) RecordLeaderContact(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at.After(h.leaderSeenAt) {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -133,7 +133,7 @@
 	n.t.Cleanup(func() { close(done) })
 	go func() {
 		for {
-			n.hub.HeardLeader(time.Now())
+			n.hub.RecordLeaderContact(time.Now())
 			select {
 			case <-done:
 				return
--- a/ring/ring.go
+++ b/ring/queue.go
@@ -2,20 +2,20 @@
 
 import "context"
 
-// Ring is a bounded first-in, first-out queue that is safe for concurrent use.
-type Ring[T any] struct {
+// Queue is a bounded first-in, first-out queue that is safe for concurrent use.
+type Queue[T any] struct {
 	items chan T
 }
 
 // New returns a queue with a capacity of n items; n below one counts as one.
-func New[T any](n int) *Ring[T] {
-	return &Ring[T]{items: make(chan T, max(n, 1))}
+func New[T any](n int) *Queue[T] {
+	return &Queue[T]{items: make(chan T, max(n, 1))}
 }
 
 // Offer adds an item without waiting; it reports false if the queue is full.
-func (r *Ring[T]) Offer(item T) bool {
+func (q *Queue[T]) Offer(item T) bool {
 	select {
-	case r.items <- item:
+	case q.items <- item:
 		return true
 	default:
 		return false
@@ -23,9 +23,9 @@
 }
 
 // Put adds an item, waiting while the queue is full; it returns the error of ctx if ctx ends first.
-func (r *Ring[T]) Put(ctx context.Context, item T) error {
+func (q *Queue[T]) Put(ctx context.Context, item T) error {
 	select {
-	case r.items <- item:
+	case q.items <- item:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -33,9 +33,9 @@
 }
 
 // Take removes the oldest item, waiting while the queue is empty; it returns the error of ctx if ctx ends first.
-func (r *Ring[T]) Take(ctx context.Context) (T, error) {
+func (q *Queue[T]) Take(ctx context.Context) (T, error) {
 	select {
-	case item := <-r.items:
+	case item := <-q.items:
 		return item, nil
 	case <-ctx.Done():
 		var zero T
@@ -44,9 +44,9 @@
 }
 
 // Poll removes the oldest item without waiting; it reports false if the queue is empty.
-func (r *Ring[T]) Poll() (T, bool) {
+func (q *Queue[T]) Poll() (T, bool) {
 	select {
-	case item := <-r.items:
+	case item := <-q.items:
 		return item, true
 	default:
 		var zero T
@@ -55,4 +55,4 @@
 }
 
 // Len returns the number of items in the queue.
-func (r *Ring[T]) Len() int { return len(r.items) }
+func (q *Queue[T]) Len() int { return len(q.items) }
--- a/routes/table_test.go
+++ b/routes/table_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestHomes checks that HomeRegions returns only the regions that all restricted routes of a host allow.
-func TestHomes(t *testing.T) {
+// TestHomeRegions checks that HomeRegions returns only the regions that all restricted routes of a host allow.
+func TestHomeRegions(t *testing.T) {
 	route := func(host, prefix string, homeRegions ...string) Route {
 		return Route{
 			Name: prefix, Host: host, PathPrefix: prefix, Kind: Safe, Timeout: time.Second, MaxAttempts: 1, HomeRegions: homeRegions,
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -43,8 +43,8 @@
 	CacheBlocks int
 	// CacheEventDelay is the time from a cache event to its announcement.
 	CacheEventDelay time.Duration
-	// CacheEventGap is the fraction of announcements whose cache events are lost.
-	CacheEventGap float64
+	// CacheEventLossShare is the fraction of announcements whose cache events are lost.
+	CacheEventLossShare float64
 	// ReportLag is the age of the load in an announcement.
 	ReportLag time.Duration
 	// KVBytesPerSecond is the bandwidth of KV cache export and import; zero is unlimited.
@@ -93,7 +93,7 @@
 		cfg:       cfg,
 		directory: d,
 		batch:     newBatch(cfg.Slots, cfg.CacheTokens),
-		cache:     newCache(cfg.CacheBlocks, cfg.CacheEventDelay, cfg.CacheEventGap, rng),
+		cache:     newCache(cfg.CacheBlocks, cfg.CacheEventDelay, cfg.CacheEventLossShare, rng),
 		counts:    counts{cancels: map[string]int64{}},
 		models:    slices.Clone(cfg.Models),
 	}
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -155,7 +155,7 @@
 func servedNames(loaded []string) []string {
 	names := slices.Clone(loaded)
 	for i, name := range names {
-		names[i] = inventory.ParseName(name).Served()
+		names[i] = inventory.ParseName(name).WithoutVersion()
 	}
 	return names
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -29,12 +29,12 @@
 	cfg       ServiceConfig
 	directory *directory.Client
 	mu        sync.Mutex
-	ran       map[string]int
+	runCounts map[string]int
 }
 
 // NewService returns a service that announces itself to the entries listed in the directory.
 func NewService(cfg ServiceConfig, d *directory.Client) *Service {
-	return &Service{cfg: cfg, directory: d, ran: map[string]int{}}
+	return &Service{cfg: cfg, directory: d, runCounts: map[string]int{}}
 }
 
 // Run announces the service until ctx ends, and then announces it as leaving for LeaveNotice.
@@ -66,7 +66,7 @@
 	mux.HandleFunc("GET /ran", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		writeJSON(w, s.ran)
+		writeJSON(w, s.runCounts)
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -84,13 +84,13 @@
 func (s *Service) recordRun(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran[body]++
-	return s.ran[body]
+	s.runCounts[body]++
+	return s.runCounts[body]
 }
 
-// Ran returns how often a body was run.
-func (s *Service) Ran(body string) int {
+// RunCount returns how often a body was run.
+func (s *Service) RunCount(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[body]
+	return s.runCounts[body]
 }
--- a/stream/sequencer.go
+++ b/stream/sequencer.go
@@ -15,7 +15,7 @@
 
 // Accept reports whether p is the next piece; a piece beyond the next one is dropped and returns *GapError.
 func (s *Sequencer) Accept(p Piece) (bool, error) {
-	if !s.Owns(p.RequestID, p.Attempt) || p.Position < s.next {
+	if !s.Matches(p.RequestID, p.Attempt) || p.Position < s.next {
 		return false, nil
 	}
 	if p.Position > s.next {
@@ -25,8 +25,8 @@
 	return true, nil
 }
 
-// Owns reports whether a piece or an end belongs to the request and the attempt.
-func (s *Sequencer) Owns(requestID string, attempt int) bool {
+// Matches reports whether a piece or an end belongs to the request and the attempt.
+func (s *Sequencer) Matches(requestID string, attempt int) bool {
 	return requestID == s.requestID && attempt == s.attempt
 }
 
--- a/stream/sequencer_test.go
+++ b/stream/sequencer_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrder feeds an attempt's pieces mixed with those of other attempts, late ones and duplicates, in any order.
-func TestOrder(t *testing.T) {
+// TestSequencer feeds an attempt's pieces mixed with those of other attempts, late ones and duplicates, in any order.
+func TestSequencer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 3).Draw(t, "first")
 		n := first + rapid.IntRange(0, 8).Draw(t, "pieces")
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestOrderDropsWithoutChange(t *testing.T) {
+func TestSequencerDropsWithoutChange(t *testing.T) {
 	sequencer := NewSequencer("own", 0, 0)
 	pieces := []Piece{{RequestID: "own"}, {RequestID: "own"}, {RequestID: "other", Position: 1}, {RequestID: "own", Attempt: 1, Position: 1}}
 	var accepted []bool
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -61,7 +61,7 @@
 		Name:          m.GetName(),
 		Incarnation:   m.GetIncarnation(),
 		Sequence:      m.GetSequence(),
-		Whole:         m.GetRenews(),
+		FullSequence:  m.GetRenews(),
 		CacheEvents:   mapAll(m.GetCacheEvents(), decodeCacheEvent),
 		CacheSequence: m.GetCacheSequence(),
 	}
--- a/wire/gossip_test.go
+++ b/wire/gossip_test.go
@@ -18,7 +18,7 @@
 type gossipCluster struct {
 	now          time.Time
 	names        []string
-	replicas     map[string]*membership.Share[membership.Fact]
+	replicas     map[string]*membership.Gossip[membership.Fact]
 	incarnations map[string]int64
 	pending      []func()
 	// lastMarks is the latest mark that each entry has reached for each origin.
@@ -40,7 +40,7 @@
 
 func (c *gossipCluster) restart(name string) {
 	c.incarnations[name]++
-	c.replicas[name] = membership.NewShare[membership.Fact](c.now, name, c.incarnations[name])
+	c.replicas[name] = membership.NewGossip[membership.Fact](c.now, name, c.incarnations[name])
 	c.publish(name)
 	for _, origin := range c.names {
 		delete(c.lastMarks, name+"<"+origin)
@@ -49,7 +49,7 @@
 
 // publish puts an advert whose sequence identifies the version.
 func (c *gossipCluster) publish(name string) {
-	published, _ := c.replicas[name].Told("n")
+	published, _ := c.replicas[name].Get("n")
 	e := membership.Entry{Name: name, Incarnation: c.incarnations[name], Sequence: 1}
 	if published.Entry != nil {
 		e.Sequence = published.Entry.Sequence + 1
@@ -68,7 +68,7 @@
 	incarnation := c.incarnations[from]
 	c.pending = append(c.pending, func() {
 		marks, positions := DecodeMarks(request, c.marks(to))
-		beats, rest := EncodeBeats(c.replicas[to].Missing(c.now, gossipTTL, marks), request, positions)
+		beats, rest := EncodeBeats(c.replicas[to].DeltasSince(c.now, gossipTTL, marks), request, positions)
 		deltas := EncodeDeltas(c.now, rest)
 		c.pending = append(c.pending, func() { c.applyReply(from, incarnation, requested, beats, deltas) })
 	})
@@ -78,8 +78,8 @@
 	if c.incarnations[from] != incarnation {
 		return // The connection ended with the requesting process.
 	}
-	c.replicas[from].Learn(c.now, DecodeBeats(beats, requested))
-	c.replicas[from].Learn(c.now, DecodeDeltas(c.now, deltas, c.marks(from)))
+	c.replicas[from].Apply(c.now, DecodeBeats(beats, requested))
+	c.replicas[from].Apply(c.now, DecodeDeltas(c.now, deltas, c.marks(from)))
 }
 
 // checkMarks fails if a mark of an entry went back, or is ahead of its origin.
@@ -109,7 +109,7 @@
 func TestGossipEncodingUnderFaults(t *testing.T) {
 	names := collidingNames()
 	rapid.Check(t, func(t *rapid.T) {
-		c := &gossipCluster{now: time.Unix(1000, 0), names: names, replicas: map[string]*membership.Share[membership.Fact]{}, incarnations: map[string]int64{}, lastMarks: map[string]membership.Mark{}}
+		c := &gossipCluster{now: time.Unix(1000, 0), names: names, replicas: map[string]*membership.Gossip[membership.Fact]{}, incarnations: map[string]int64{}, lastMarks: map[string]membership.Mark{}}
 		for _, name := range names {
 			c.restart(name)
 		}
