--- a/calls/answer.go
+++ b/calls/answer.go
@@ -33,17 +33,17 @@
 	}
 }
 
-func inProgress() *problem.Problem {
+func callInProgress() *problem.Problem {
 	return problem.New(problem.CallInProgress, http.StatusConflict, "the call is in progress").
 		WithOutcome(problem.Unknown).WithRetryAfter(retryAfterInProgress)
 }
 
-func inDoubt() *problem.Problem {
+func callInDoubt() *problem.Problem {
 	return problem.New(problem.CallUnknown, http.StatusConflict, "the call may have run; an operator will find out").
 		WithOutcome(problem.Unknown)
 }
 
-func stale() *problem.Problem {
+func callMayBeLost() *problem.Problem {
 	return problem.New(problem.CallUnknown, http.StatusConflict,
 		"the ledger may have lost a call with this key").
 		WithOutcome(problem.Unknown)
@@ -63,7 +63,7 @@
 	return problem.New(problem.LedgerUnavailable, http.StatusServiceUnavailable, "the ledger is full")
 }
 
-func unavailable() *problem.Problem {
+func ledgerUnavailable() *problem.Problem {
 	return problem.New(problem.LedgerUnavailable, http.StatusServiceUnavailable, "too few ledger replicas answered").
 		WithOutcome(problem.Unknown).WithRetryAfter(retryAfterInProgress)
 }
--- a/calls/repair.go
+++ b/calls/repair.go
@@ -56,7 +56,7 @@
 	}) {
 		replies = append(replies, reply)
 	}
-	return ledger.Judge(x.now(), x.group.Len(), "", "", replies)
+	return ledger.DeriveVerdict(x.now(), x.group.Len(), "", "", replies)
 }
 
 // Settle proposes the value as the ending of a call in doubt and returns the agreed ending, which may be one that was
--- a/calls/runner.go
+++ b/calls/runner.go
@@ -93,7 +93,7 @@
 	case res := <-done:
 		return res.reply, res.err
 	case <-ctx.Done():
-		return dispatch.Reply{}, inProgress()
+		return dispatch.Reply{}, callInProgress()
 	}
 }
 
@@ -149,7 +149,7 @@
 		if a.Claimed() || !x.now().Before(end) {
 			return a
 		}
-		if verdict, _ := ledger.Judge(
+		if verdict, _ := ledger.DeriveVerdict(
 			x.now(), x.group.Len(), call.Attempt, call.Digest, a.ClaimReplies(),
 		); verdict != ledger.Unavailable {
 			return a
@@ -195,7 +195,7 @@
 		x.propagateEnding(ctx, a)
 		return
 	}
-	if p, ok := notSent(res.err); ok {
+	if p, ok := notSentProblem(res.err); ok {
 		a.NotSent()
 		x.runPhase(ctx, a)
 		done <- result{err: p}
@@ -204,7 +204,7 @@
 	x.log.Warn().Str("correlationId", r.CorrelationID).Str("attempt", a.Call().Attempt).Err(res.err).Msg("callInDoubt")
 	a.InDoubt()
 	x.runPhase(ctx, a)
-	done <- result{err: inDoubt()}
+	done <- result{err: callInDoubt()}
 }
 
 // completedValue returns the ending of a call that was answered, without the body if the region may not store it.
@@ -280,34 +280,34 @@
 	for _, reply := range x.group.queryAll(ctx, ledger.Request{Op: ledger.OpRead, Group: x.group.Name(), Call: call}) {
 		replies = append(replies, reply)
 	}
-	verdict, _ := ledger.Judge(x.now(), x.group.Len(), call.Attempt, call.Digest, replies)
+	verdict, _ := ledger.DeriveVerdict(x.now(), x.group.Len(), call.Attempt, call.Digest, replies)
 	if verdict == ledger.Unavailable && !hasToken {
 		return result{err: epochRequired()}
 	}
 	if verdict == ledger.Unavailable {
-		return result{err: stale()}
+		return result{err: callMayBeLost()}
 	}
 	return x.resolveLostClaim(ctx, call, replies)
 }
 
 // resolveLostClaim returns the result of a call that was not claimed, from the replies of the replicas.
 func (x *Runner) resolveLostClaim(ctx context.Context, call ledger.Record, replies []ledger.Reply) result {
-	verdict, known := ledger.Judge(x.now(), x.group.Len(), call.Attempt, call.Digest, replies)
+	verdict, known := ledger.DeriveVerdict(x.now(), x.group.Len(), call.Attempt, call.Digest, replies)
 	switch verdict {
 	case ledger.Answered:
 		return x.recordedResult(ctx, known)
 	case ledger.Reused:
 		return result{err: keyReused()}
 	case ledger.Running:
-		return result{err: inProgress()}
+		return result{err: callInProgress()}
 	case ledger.InDoubt:
-		return result{err: inDoubt()}
+		return result{err: callInDoubt()}
 	case ledger.Stale:
-		return result{err: stale()}
+		return result{err: callMayBeLost()}
 	case ledger.Full:
 		return result{err: ledgerFull()}
 	default:
-		return result{err: unavailable()}
+		return result{err: ledgerUnavailable()}
 	}
 }
 
@@ -317,14 +317,15 @@
 	if !call.Chosen {
 		var ok bool
 		if v, ok, _ = x.agreeEnding(ctx, call, ledger.Value{}); !ok {
-			return result{err: inProgress()}
+			return result{err: callInProgress()}
 		}
 	}
 	return resultOf(v)
 }
 
-// notSent returns the problem to report for a call of which no byte was sent, and false if the call may have been sent.
-func notSent(err error) (*problem.Problem, bool) {
+// notSentProblem returns the problem to report for a call of which no byte was sent, and false if the call may have
+// been sent.
+func notSentProblem(err error) (*problem.Problem, bool) {
 	var p *problem.Problem
 	if errors.As(err, &p) {
 		return p, p.Outcome == problem.NotRun
--- a/control/operators.go
+++ b/control/operators.go
@@ -37,7 +37,7 @@
 func (c *Control) decode(r *http.Request, m proto.Message) error {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		return problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "a request has at most %d bytes", c.cfg.MaxInventoryBytes)
+		return problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "a request must have at most %d bytes", c.cfg.MaxInventoryBytes)
 	}
 	if err := wire.DecodeJSON(b, m); err != nil {
 		return problem.New(problem.MalformedRequest, http.StatusBadRequest, "%s", err.Error())
--- a/control/placement.go
+++ b/control/placement.go
@@ -110,9 +110,9 @@
 }
 
 // sendOrder sends one change to its engine.
-func (p *placer) sendOrder(ctx context.Context, c placement.Change, address string, checks bool, revision int64) {
-	n, err := p.issueNumber(checks)
-	p.logPlacement(c, n, checks, revision, err)
+func (p *placer) sendOrder(ctx context.Context, c placement.Change, address string, checksFencing bool, revision int64) {
+	n, err := p.issueNumber(checksFencing)
+	p.logPlacement(c, n, checksFencing, revision, err)
 	if err == nil {
 		m := &wiregen.EngineOrder{
 			Endpoint:       c.Endpoint,
@@ -121,7 +121,7 @@
 			Sequence:       n.Sequence,
 			DeadlineMillis: orderDeadline.Milliseconds(),
 		}
-		err = p.sender.send(ctx, address, m, func() error { return p.check(n, checks) })
+		err = p.sender.send(ctx, address, m, func() error { return p.checkOrderNumber(n, checksFencing) })
 	}
 	if err == nil {
 		return
@@ -130,23 +130,24 @@
 	p.log.Warn().Str("placement", c.Endpoint).Int64("term", n.Term).Int64("sequence", n.Sequence).Err(err).Msg("orderFailed")
 }
 
-func (p *placer) issueNumber(checks bool) (fencing.Number, error) {
+func (p *placer) issueNumber(checksFencing bool) (fencing.Number, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	return p.issuer.Issue(now, p.lease(now), checks)
+	return p.issuer.Issue(now, p.lease(now), checksFencing)
 }
 
-// check checks the order's number against the current time and lease; it is called directly before an order is sent.
-func (p *placer) check(n fencing.Number, checks bool) error {
+// checkOrderNumber checks the order's number against the current time and lease; it is called directly before an order
+// is sent.
+func (p *placer) checkOrderNumber(n fencing.Number, checksFencing bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	return p.issuer.Check(now, p.lease(now), n, checks)
+	return p.issuer.Check(now, p.lease(now), n, checksFencing)
 }
 
 // logPlacement logs a placement decision with its reasons.
-func (p *placer) logPlacement(c placement.Change, n fencing.Number, checks bool, revision int64, err error) {
+func (p *placer) logPlacement(c placement.Change, n fencing.Number, checksFencing bool, revision int64, err error) {
 	event := p.log.Info()
 	if err != nil {
 		event = event.Str("heldBack", err.Error())
@@ -167,7 +168,7 @@
 		Int64("revision", revision).
 		Int64("term", n.Term).
 		Int64("sequence", n.Sequence).
-		Bool("checksFencing", checks).
+		Bool("checksFencing", checksFencing).
 		Msg("placed")
 }
 
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -25,7 +25,7 @@
 func (n *Entry) handleAnnouncement(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAnnouncement))
 	if err != nil {
-		problem.Write(w, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "an announcement has at most %d bytes", maxAnnouncement), "")
+		problem.Write(w, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "an announcement must have at most %d bytes", maxAnnouncement), "")
 		return
 	}
 	m := &wiregen.Announcement{}
--- a/entry/announce_test.go
+++ b/entry/announce_test.go
@@ -20,8 +20,8 @@
 	"arbutusreel/wiregen"
 )
 
-// wholeAnnouncement returns the full announcement of endpoint i.
-func wholeAnnouncement(i int, sequence int64) *wiregen.Announcement {
+// fullAnnouncement returns the full announcement of endpoint i.
+func fullAnnouncement(i int, sequence int64) *wiregen.Announcement {
 	return &wiregen.Announcement{
 		Name: fmt.Sprint("engine-lahore-", i), Incarnation: 1796334829000000000, Sequence: sequence, Address: "10.100.200.30:9000",
 		Region: "lahore", FailureDomain: "lahore-a", Service: "reel-counsel", Models: []string{"arrangements-v1"}, Slots: 8, Load: loadReport(sequence),
@@ -32,8 +32,8 @@
 	return &wiregen.LoadReport{Running: 4, Queued: sequence % 7, QueuedTokens: 900, TokensPerSecond: 320, PrefillTokensPerSecond: 5000, CacheUse: 0.7}
 }
 
-func renewalOf(i int, sequence, whole int64, load *wiregen.LoadReport) *wiregen.Announcement {
-	return &wiregen.Announcement{Name: fmt.Sprint("engine-lahore-", i), Incarnation: 1796334829000000000, Sequence: sequence, Renews: whole, Load: load}
+func renewalOf(i int, sequence, fullSequence int64, load *wiregen.LoadReport) *wiregen.Announcement {
+	return &wiregen.Announcement{Name: fmt.Sprint("engine-lahore-", i), Incarnation: 1796334829000000000, Sequence: sequence, Renews: fullSequence, Load: load}
 }
 
 // post sends an announcement, without a User-Agent header if lean is set, and returns the status and the reply.
@@ -73,7 +73,7 @@
 	address := server.Listener.Addr().String()
 	restarted := renewalOf(0, 9, 2, nil)
 	restarted.Incarnation++
-	leaving := wholeAnnouncement(0, 9)
+	leaving := fullAnnouncement(0, 9)
 	leaving.Leaving = true
 	steps := []struct {
 		name      string
@@ -85,7 +85,7 @@
 		wantQueued   int
 	}{
 		{"a renewal of an unknown endpoint", 0, renewalOf(0, 1, 1, nil), true, 0, 0},
-		{"whole", 0, wholeAnnouncement(0, 2), false, 2, 2},
+		{"whole", 0, fullAnnouncement(0, 2), false, 2, 2},
 		{"a renewal keeps the rest", 2 * time.Second, renewalOf(0, 3, 2, nil), false, 3, 2},
 		{"a renewal with a load", 2 * time.Second, renewalOf(0, 5, 2, loadReport(5)), false, 5, 5},
 		{"a late renewal changes nothing", 0, renewalOf(0, 4, 2, loadReport(4)), false, 5, 5},
@@ -147,7 +147,7 @@
 		lean    bool
 		message func(i int, sequence int64) *wiregen.Announcement
 	}{
-		{"whole", false, wholeAnnouncement},
+		{"whole", false, fullAnnouncement},
 		{"renewalWithLoad", true, func(i int, sequence int64) *wiregen.Announcement {
 			return renewalOf(i, sequence, 1, loadReport(sequence))
 		}},
@@ -166,7 +166,7 @@
 				address := server.Listener.Addr().String()
 				client := &http.Client{Transport: &http.Transport{DisableCompression: mode.lean}}
 				for i := range endpoints {
-					post(b, client, address, wholeAnnouncement(i, 1), mode.lean)
+					post(b, client, address, fullAnnouncement(i, 1), mode.lean)
 				}
 				count.Store(0)
 				began := cpuTime()
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -37,9 +37,9 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", n.authenticated(n.listEntries))
 	mux.HandleFunc("GET /v1/models", n.authenticated(n.listModels))
-	mux.HandleFunc("POST /v1/chat/completions", n.authenticated(n.chat))
-	mux.HandleFunc("POST /v1/completions", n.authenticated(n.text))
-	mux.HandleFunc("/v1/services/{service}/{path...}", n.authenticated(n.service))
+	mux.HandleFunc("POST /v1/chat/completions", n.authenticated(n.serveChat))
+	mux.HandleFunc("POST /v1/completions", n.authenticated(n.serveText))
+	mux.HandleFunc("/v1/services/{service}/{path...}", n.authenticated(n.serveCall))
 	authorizer := operator.NewAuthorizer(n.cfg.OperatorTokenDigest, n.cfg.MaxBodyBytes)
 	mux.HandleFunc("GET /v1/repair", authorizer.Handle(n.listDoubtful))
 	mux.HandleFunc("POST /v1/repair", authorizer.Handle(n.settleDoubtful))
@@ -142,7 +142,7 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "a body has at most %d bytes", n.cfg.MaxBodyBytes)
+		return nil, problem.New(problem.BodyTooLarge, http.StatusRequestEntityTooLarge, "a body must have at most %d bytes", n.cfg.MaxBodyBytes)
 	}
 	if err != nil {
 		return nil, problem.New(problem.MalformedRequest, http.StatusBadRequest, "the body cannot be read")
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -22,7 +22,7 @@
 
 // Error returns a message with the limit.
 func (e *AnswerTooLargeError) Error() string {
-	return fmt.Sprintf("an answer that is not streamed has at most %d bytes", e.Limit)
+	return fmt.Sprintf("an answer that is not streamed must have at most %d bytes", e.Limit)
 }
 
 // PeerUnreachableError reports that no connection to an entry could be established, so that nothing was sent.
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -36,12 +36,12 @@
 	maxFastSummaryRegions = 5
 	summaryPeriod         = time.Second
 	slowSummaryPeriod     = 10 * time.Second
-	// originTTL is how long the state of an origin without a new beat is considered live; originTTLPerEntry is added
+	// originTTL is how long the state of an origin without a new heartbeat is considered live; originTTLPerEntry is added
 	// for each live origin. slowOriginTTL replaces it in a large region, whose entries exchange less often.
 	originTTL         = 3 * time.Second
 	slowOriginTTL     = 5 * time.Second
 	originTTLPerEntry = 200 * time.Millisecond
-	// slowGatewayTTL is how long the state of a gateway without a new beat is considered live if any region exchanges
+	// slowGatewayTTL is how long the state of a gateway without a new heartbeat is considered live if any region exchanges
 	// at the slow rate; slowGatewayTTLPerRegion is added for each region. It exceeds the time that the standby needs to
 	// take over.
 	slowGatewayTTL          = 15 * time.Second
@@ -88,7 +88,7 @@
 	}
 }
 
-// localTTL returns how long an entry of the region is considered live after its last beat.
+// localTTL returns how long an entry of the region is considered live after its last heartbeat.
 func (f *gossipState) localTTL() time.Duration {
 	ttl := originTTL
 	if f.localOrigins > maxSmallRegionEntries {
@@ -97,7 +97,7 @@
 	return ttl + time.Duration(f.localOrigins)*originTTLPerEntry
 }
 
-// globalTTL returns how long a gateway is considered live after its last beat.
+// globalTTL returns how long a gateway is considered live after its last heartbeat.
 func (f *gossipState) globalTTL() time.Duration {
 	if f.slowExchange {
 		return slowGatewayTTL + time.Duration(f.regions)*slowGatewayTTLPerRegion
--- a/entry/middleware.go
+++ b/entry/middleware.go
@@ -41,7 +41,7 @@
 			w.Header().Set("Connection", "close")
 		}
 		if headerBytes(r) > n.cfg.MaxHeaderBytes {
-			n.fail(w, caller{correlationID: id}, problem.New(problem.HeaderTooLarge, http.StatusRequestHeaderFieldsTooLarge, "a header has at most %d bytes", n.cfg.MaxHeaderBytes))
+			n.fail(w, caller{correlationID: id}, problem.New(problem.HeaderTooLarge, http.StatusRequestHeaderFieldsTooLarge, "a header must have at most %d bytes", n.cfg.MaxHeaderBytes))
 			return
 		}
 		defer n.abortOnPanic(id)
--- a/entry/models.go
+++ b/entry/models.go
@@ -38,11 +38,11 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-func (n *Entry) chat(w http.ResponseWriter, r *http.Request, c caller) {
+func (n *Entry) serveChat(w http.ResponseWriter, r *http.Request, c caller) {
 	n.complete(w, r, c, completion.Chat)
 }
 
-func (n *Entry) text(w http.ResponseWriter, r *http.Request, c caller) {
+func (n *Entry) serveText(w http.ResponseWriter, r *http.Request, c caller) {
 	n.complete(w, r, c, completion.Text)
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -12,8 +12,8 @@
 	"arbutusreel/residency"
 )
 
-// service serves a call of a plain service.
-func (n *Entry) service(w http.ResponseWriter, r *http.Request, c caller) {
+// serveCall serves a call of a plain service.
+func (n *Entry) serveCall(w http.ResponseWriter, r *http.Request, c caller) {
 	began := time.Now()
 	class, reserved, err := n.reserveRequest(c, r)
 	if err != nil {
--- a/inventory/check.go
+++ b/inventory/check.go
@@ -48,7 +48,7 @@
 		path := fmt.Sprintf("%s[%d].name", list, i)
 		if !namePattern.MatchString(name) {
 			c.addFault(path, name,
-				"a name has 1 to 63 letters, digits, dots, underscores and hyphens and begins with a lower-case letter or digit")
+				"a name must have 1 to 63 letters, digits, dots, underscores and hyphens and begin with a lower-case letter or digit")
 		}
 		if seen[name] {
 			c.addFault(path, name, "the name is used twice")
@@ -81,13 +81,13 @@
 
 func (c *checker) checkNonNegative(path string, value float64) {
 	if !(value >= 0) || math.IsInf(value, 0) {
-		c.addFault(path, fmt.Sprint(value), "the value is zero or more and finite")
+		c.addFault(path, fmt.Sprint(value), "the value must be zero or more and finite")
 	}
 }
 
 func (c *checker) checkFraction(path string, value float64) {
 	if !(value >= 0 && value <= 1) {
-		c.addFault(path, fmt.Sprint(value), "the value lies between 0 and 1")
+		c.addFault(path, fmt.Sprint(value), "the value must be between 0 and 1")
 	}
 }
 
@@ -109,14 +109,14 @@
 		checkDefined(c, path+".from", "region", l.From, c.inv.regions)
 		checkDefined(c, path+".to", "region", l.To, c.inv.regions)
 		if l.From == l.To {
-			c.addFault(path+".to", l.To, "a link joins two regions")
+			c.addFault(path+".to", l.To, "a link must join two different regions")
 		}
 		if l.BytesPerSecond <= 0 {
-			c.addFault(path+".bytesPerSecond", fmt.Sprint(l.BytesPerSecond), "the value is greater than zero")
+			c.addFault(path+".bytesPerSecond", fmt.Sprint(l.BytesPerSecond), "the value must be greater than zero")
 		}
 		c.checkNonNegative(path+".roundTripMillis", float64(l.RoundTrip))
 		if l.RoundTrip > maxDuration {
-			c.addFault(path+".roundTripMillis", fmt.Sprint(l.RoundTrip.Milliseconds()), "the value is at most thirty days")
+			c.addFault(path+".roundTripMillis", fmt.Sprint(l.RoundTrip.Milliseconds()), "the value must be at most thirty days")
 		}
 		c.checkNonNegative(path+".costPerGigabyte", l.CostPerGigabyte)
 	}
@@ -128,7 +128,7 @@
 		path := fmt.Sprintf("labels[%d].allowedRegions", i)
 		checkAllDefined(c, path, "region", l.AllowedRegions, c.inv.regions)
 		if len(l.AllowedRegions) == 0 {
-			c.addFault(path, "", "a label allows at least one region")
+			c.addFault(path, "", "a label must allow at least one region")
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		checkAllDefined(c, path+".allowedRegions", "region", s.AllowedRegions, c.inv.regions)
 		c.checkNonNegative(path+".minEndpointsPerModel", float64(s.MinEndpointsPerModel))
 		if s.Kind == KindPlain && len(s.Models) > 0 {
-			c.addFault(path+".models", s.Models[0], "a plain service has no models")
+			c.addFault(path+".models", s.Models[0], "a plain service must have no models")
 		}
 	}
 }
@@ -214,10 +214,10 @@
 	for i, v := range c.inv.contents.Classes {
 		path := fmt.Sprintf("classes[%d]", i)
 		if v.Patience <= 0 {
-			c.addFault(path+".patienceMillis", fmt.Sprint(v.Patience.Milliseconds()), "the value is greater than zero")
+			c.addFault(path+".patienceMillis", fmt.Sprint(v.Patience.Milliseconds()), "the value must be greater than zero")
 		}
 		if v.Patience > maxDuration {
-			c.addFault(path+".patienceMillis", fmt.Sprint(v.Patience.Milliseconds()), "the value is at most thirty days")
+			c.addFault(path+".patienceMillis", fmt.Sprint(v.Patience.Milliseconds()), "the value must be at most thirty days")
 		}
 		c.checkNonNegative(path+".weight", v.Weight)
 	}
@@ -235,7 +235,7 @@
 		c.checkNonNegative(path+".tokensPerSecond", t.TokensPerSecond)
 		c.checkNonNegative(path+".weight", t.Weight)
 		if b, err := hex.DecodeString(t.CredentialDigest); err != nil || len(b) != digestBytes {
-			c.addFault(path+".credentialDigest", t.CredentialDigest, "a digest is 64 hexadecimal digits")
+			c.addFault(path+".credentialDigest", t.CredentialDigest, "a digest must be 64 hexadecimal digits")
 		}
 		if seen[t.CredentialDigest] {
 			c.addFault(path+".credentialDigest", t.CredentialDigest, "two teams have the same credential")
--- a/keys/files.go
+++ b/keys/files.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// Files names the PEM files of an instance; without any, connections are plain.
+// Files names the PEM files of an instance; without any, connections use no TLS.
 type Files struct {
 	Certificate string
 	Key         string
--- a/keys/source.go
+++ b/keys/source.go
@@ -15,7 +15,7 @@
 // Source provides the TLS configurations of one instance; it is safe for concurrent use.
 //
 // The files are read before each handshake, so that a change applies from the next connection on. If the files cannot
-// be used, the last valid ones stay in use. A nil source is plain.
+// be used, the last valid ones stay in use. A nil source uses no TLS.
 type Source struct {
 	files        Files
 	now          func() time.Time
@@ -111,7 +111,8 @@
 	})
 }
 
-// HTTPServer returns the TLS configuration of an HTTP server for callers or operators, or nil if it is plain.
+// HTTPServer returns the TLS configuration of an HTTP server for callers or operators, or nil if the instance
+// uses no TLS.
 func (s *Source) HTTPServer() *tls.Config {
 	if !s.Mutual() {
 		return nil
@@ -119,7 +120,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: s.serverCertificate}
 }
 
-// HTTPClient returns the TLS configuration of an HTTP client that trusts the authority, or nil if it is plain.
+// HTTPClient returns the TLS configuration of an HTTP client that trusts the authority, or nil without an
+// authority file.
 func (s *Source) HTTPClient() *tls.Config {
 	if s == nil || s.files.Authority == "" {
 		return nil
@@ -166,7 +168,8 @@
 	return IdentityOf(leaf)
 }
 
-// Listener returns a listener of TLS connections for callers or operators, or l itself if it is plain.
+// Listener returns a listener of TLS connections for callers or operators, or l itself if the instance uses no
+// TLS.
 func (s *Source) Listener(l net.Listener) net.Listener {
 	if cfg := s.HTTPServer(); cfg != nil {
 		return tls.NewListener(l, cfg)
--- a/ledger/machine_test.go
+++ b/ledger/machine_test.go
@@ -150,7 +150,7 @@
 
 // resolveLostClaim checks the verdict on an attempt that lost its claim, and settles an ending that is not chosen yet.
 func (m *machine) resolveLostClaim(a *testAttempt) {
-	verdict, call := Judge(m.now, len(m.slots), a.Call().Attempt, a.Call().Digest, a.ClaimReplies())
+	verdict, call := DeriveVerdict(m.now, len(m.slots), a.Call().Attempt, a.Call().Digest, a.ClaimReplies())
 	m.coverage[fmt.Sprint("verdict ", verdict)]++
 	switch {
 	case verdict == Answered && call.Chosen:
@@ -170,7 +170,7 @@
 			replies = append(replies, reply)
 		}
 	}
-	return Judge(m.now, len(m.slots), "", "", replies)
+	return DeriveVerdict(m.now, len(m.slots), "", "", replies)
 }
 
 func (m *machine) settle(call Record, proposed Value) {
--- a/ledger/verdict.go
+++ b/ledger/verdict.go
@@ -23,13 +23,13 @@
 	Answered
 )
 
-// Judge derives the verdict for an attempt from the replies to its lost claim or to a read, and returns it with the
-// record that it is based on. An empty digest matches every record.
-func Judge(now time.Time, n int, attempt, digest string, replies []Reply) (Verdict, Record) {
+// DeriveVerdict derives the verdict for an attempt from the replies to its lost claim or to a read, and returns it with
+// the record that it is based on. An empty digest matches every record.
+func DeriveVerdict(now time.Time, n int, attempt, digest string, replies []Reply) (Verdict, Record) {
 	best, found := selectRecord(now, attempt, replies)
 	switch {
 	case !found:
-		return judgeUnknown(n, replies), Record{}
+		return deriveVerdictWithoutRecord(n, replies), Record{}
 	case digest != "" && best.Digest != digest:
 		return Reused, best
 	case best.Value.Ending != Open:
@@ -56,7 +56,8 @@
 	return best, found
 }
 
-func judgeUnknown(n int, replies []Reply) Verdict {
+// deriveVerdictWithoutRecord derives the verdict if no reply holds a record of the key.
+func deriveVerdictWithoutRecord(n int, replies []Reply) Verdict {
 	counts := map[Refusal]int{}
 	for _, r := range replies {
 		counts[r.Refusal]++
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -43,7 +43,7 @@
 	items map[string]Item[T]
 	// prunedVersion is the version up to which dropped items may be deleted; older marks get a full delta.
 	prunedVersion uint64
-	// lastSeen is when the origin was first known in this incarnation or its beat last rose.
+	// lastSeen is when the origin was first known in this incarnation or its heartbeat counter last rose.
 	lastSeen time.Time
 }
 
--- a/relay/follower.go
+++ b/relay/follower.go
@@ -20,7 +20,8 @@
 	retryPeriod = 300 * time.Millisecond
 	// idleTimeout is the maximum time between two messages of a source.
 	idleTimeout = 3 * time.Second
-	// maxLeaderAge is the time since a source's last contact with a leader after which the source is left.
+	// maxLeaderAge is the time since a source's last contact with a leader after which the follower switches to another
+	// source.
 	maxLeaderAge      = 5 * time.Second
 	latestTimeout     = time.Second
 	reportCheckPeriod = 200 * time.Millisecond
@@ -54,7 +55,8 @@
 	instance Instance
 	log      zerolog.Logger
 	failures *distribution.Failures
-	// wantsWhole is set if a delta did not fit, so that the whole inventory is requested next.
+	// wantsWhole is set if a delta could not be applied to the inventory in force, so that the whole inventory is
+	// requested next.
 	wantsWhole atomic.Bool
 	// advertAt is when the addresses were last sent on the current stream.
 	advertAt time.Time
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// apply puts an update into force; if its deltas do not fit, the inventory in force is kept.
+// apply puts an update into force; if its deltas cannot be applied, the inventory in force is kept.
 func (f *Follower) apply(m *wiregen.FollowUpdate) error {
 	f.hub.RecordLeaderContact(f.hub.now().Add(-time.Duration(m.GetLeaderAgeMillis()) * time.Millisecond))
 	whole, changed, err := f.hub.apply(decodeUpdate(m))
--- a/settings/check.go
+++ b/settings/check.go
@@ -39,17 +39,17 @@
 
 func checkName(text string) string {
 	if len(text) > maxNameBytes {
-		return "a name has at most 63 characters"
+		return "a name must have at most 63 characters"
 	}
 	if ok, _ := regexp.MatchString(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`, text); !ok {
-		return "a name has lower-case letters, digits and hyphens only"
+		return "a name must have lower-case letters, digits and hyphens only"
 	}
 	return ""
 }
 
 func checkAddress(text string) string {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		return "an address is an IP address and a port; host names are not accepted"
+		return "an address must be an IP address and a port; host names are not accepted"
 	}
 	return ""
 }
@@ -57,7 +57,7 @@
 func checkMember(text string) string {
 	name, address, found := strings.Cut(text, "=")
 	if !found {
-		return "a member is written as name=address"
+		return "a member must be written as name=address"
 	}
 	if reason := checkName(name); reason != "" {
 		return reason
@@ -67,7 +67,7 @@
 
 func checkFolder(text string) string {
 	if !filepath.IsAbs(text) {
-		return "a folder is written as an absolute path"
+		return "a folder must be written as an absolute path"
 	}
 	info, err := os.Stat(text)
 	if os.IsNotExist(err) {
@@ -94,7 +94,7 @@
 func checkDigest(text string) string {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != digestBytes {
-		return "a digest is 64 hexadecimal digits"
+		return "a digest must be 64 hexadecimal digits"
 	}
 	return ""
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -93,13 +93,13 @@
 	case protoreflect.BoolKind:
 		b, err := strconv.ParseBool(text)
 		if err != nil {
-			return protoreflect.Value{}, "the value is either true or false"
+			return protoreflect.Value{}, "the value must be either true or false"
 		}
 		return protoreflect.ValueOfBool(b), ""
 	case protoreflect.Int64Kind:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return protoreflect.Value{}, "the value is a whole number"
+			return protoreflect.Value{}, "the value must be a whole number"
 		}
 		return protoreflect.ValueOfInt64(n), s.checkBounds(n)
 	default:
@@ -121,7 +121,7 @@
 func parseDuration(s Setting, text string) (protoreflect.Value, string) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		return protoreflect.Value{}, "the value is a duration such as 250ms or 3s"
+		return protoreflect.Value{}, "the value must be a duration such as 250ms or 3s"
 	}
 	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), s.checkBounds(millisAwayFromZero(d))
 }
@@ -159,7 +159,7 @@
 		return ""
 	}
 	if n < s.Min || n > s.Max {
-		return "the value lies outside " + strconv.FormatInt(s.Min, 10) + " to " + strconv.FormatInt(s.Max, 10)
+		return "the value must be in the range " + strconv.FormatInt(s.Min, 10) + " to " + strconv.FormatInt(s.Max, 10)
 	}
 	return ""
 }
@@ -169,7 +169,7 @@
 	if len(s.Choices) == 0 || slices.Contains(s.Choices, text) {
 		return ""
 	}
-	return "the value is one of " + strings.Join(s.Choices, ", ")
+	return "the value must be one of " + strings.Join(s.Choices, ", ")
 }
 
 // Describe returns the settings of m in the order of the schema.
--- a/systemtest/calls_test.go
+++ b/systemtest/calls_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// serviceSystem is a system with a plain service in lahore. Orders have a patience of 3 s instead of 30 s.
+// serviceSystem is a system with a plain service in lahore. The class order has a patience of 3 s instead of
+// 30 s.
 type serviceSystem struct {
 	*system
 	service *instance
--- a/systemtest/configuration_test.go
+++ b/systemtest/configuration_test.go
@@ -173,6 +173,8 @@
 	s.mustChange("lost", 1)
 }
 
+// TestWokenLeaderIsNotCurrent freezes the leader while another one accepts a change, and sends requests that the frozen
+// leader answers after it is thawed. It must neither return the old inventory nor accept a change.
 func TestWokenLeaderIsNotCurrent(t *testing.T) {
 	s := newVoterSystem(t, 1)
 	old := s.leader()
@@ -204,6 +206,8 @@
 	s.waitInForce(3)
 }
 
+// TestSecondLossAfterRepair erases the disk of a voter, replaces it as a member, and then erases the disk of a second
+// voter. The accepted changes must survive, and new ones must be accepted.
 func TestSecondLossAfterRepair(t *testing.T) {
 	s := newVoterSystem(t, 1)
 	s.mustChange("before", 1)
--- a/systemtest/keys_test.go
+++ b/systemtest/keys_test.go
@@ -76,8 +76,8 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 }
 
-// source returns the credentials of an instance with its own certificate.
-func (c *certificates) source(name, region string) *keys.Source {
+// newSource returns the credentials of an instance with its own certificate.
+func (c *certificates) newSource(name, region string) *keys.Source {
 	c.t.Helper()
 	source, err := keys.New(c.sign("test-"+name, name, region), time.Now, func(error) {})
 	if err != nil {
@@ -132,7 +132,7 @@
 	}
 	s.until("a plan of lahore is answered in karachi", answered)
 
-	own := c.source("entry-test", "karachi")
+	own := c.newSource("entry-test", "karachi")
 	check := func(name string, err error, ok bool) {
 		t.Helper()
 		if (err == nil) != ok {
@@ -142,10 +142,10 @@
 	check("own name", exchange(t, own, lahore, lahore.name, "entry-test"), true)
 	check("claim of another name", exchange(t, own, lahore, lahore.name, "entry-karachi-0"), false)
 	check("ledger of another region", queryLedger(t, own, lahore), false)
-	check("ledger of the own region", queryLedger(t, c.source("entry-near", "lahore"), lahore), true)
+	check("ledger of the own region", queryLedger(t, c.newSource("entry-near", "lahore"), lahore), true)
 	check("the receiver has another name", exchange(t, own, lahore, "entry-karachi-0", "entry-test"), false)
 	check("plain", exchange(t, keys.Plain(), lahore, "", "entry-test"), false)
-	foreign := newCertificates(t).source("entry-test", "karachi")
+	foreign := newCertificates(t).newSource("entry-test", "karachi")
 	check("foreign authority", exchange(t, foreign, lahore, "", "entry-test"), false)
 
 	before := s.serial(lahore.caller)
--- a/systemtest/streams_test.go
+++ b/systemtest/streams_test.go
@@ -76,7 +76,7 @@
 	return c
 }
 
-// answersPlan reports whether an entry answers a plan of one token.
+// answersPlan reports whether an entry answers a request of the class plan for one token.
 func (s *system) answersPlan(e *instance, token string) bool {
 	body := strings.Replace(planBody, `"max_tokens":4`, `"max_tokens":1`, 1)
 	return s.do(http.MethodPost, e.caller, chatPath, token, body).status == http.StatusOK
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -97,10 +97,10 @@
 		}
 	}
 	if _, err := netip.ParseAddrPort(m.GetAddress()); err != nil {
-		return &InvalidAnnouncementError{Field: "address", Reason: "an address is an IP number and a port"}
+		return &InvalidAnnouncementError{Field: "address", Reason: "an address must be an IP address and a port"}
 	}
 	if m.GetSlots() <= 0 {
-		return &InvalidAnnouncementError{Field: "slots", Reason: "the value is greater than zero"}
+		return &InvalidAnnouncementError{Field: "slots", Reason: "the value must be greater than zero"}
 	}
 	return checkLoad(m.GetLoad())
 }
@@ -121,7 +121,7 @@
 	}
 	for _, n := range numbers {
 		if !(n.value >= 0) || math.IsInf(n.value, 0) {
-			return &InvalidAnnouncementError{Field: n.field, Reason: "the value is zero or more and finite"}
+			return &InvalidAnnouncementError{Field: n.field, Reason: "the value must be zero or more and finite"}
 		}
 	}
 	return nil
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -41,10 +41,10 @@
 			if encoded.GetClasses()[i].GetPatienceMillis() != c.GetPatienceMillis() {
 				t.Errorf("patience %d became %d", c.GetPatienceMillis(), encoded.GetClasses()[i].GetPatienceMillis())
 			}
-			finite(t, "weight", c.GetWeight())
+			checkFiniteNonNegative(t, "weight", c.GetWeight())
 		}
 		for _, r := range m.GetRegions() {
-			finite(t, "costPerThousandTokens", r.GetCostPerThousandTokens())
+			checkFiniteNonNegative(t, "costPerThousandTokens", r.GetCostPerThousandTokens())
 		}
 		text, err := wire.EncodeJSON(encoded)
 		if err != nil {
@@ -57,7 +57,7 @@
 	})
 }
 
-func finite(t *testing.T, name string, v float64) {
+func checkFiniteNonNegative(t *testing.T, name string, v float64) {
 	t.Helper()
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		t.Errorf("%s is %v", name, v)
@@ -80,9 +80,9 @@
 		if err != nil {
 			return
 		}
-		finite(t, "tokensPerSecond", e.Load.TokensPerSecond)
-		finite(t, "prefillTokensPerSecond", e.Load.PrefillTokensPerSecond)
-		finite(t, "cacheUse", e.Load.CacheUse)
+		checkFiniteNonNegative(t, "tokensPerSecond", e.Load.TokensPerSecond)
+		checkFiniteNonNegative(t, "prefillTokensPerSecond", e.Load.PrefillTokensPerSecond)
+		checkFiniteNonNegative(t, "cacheUse", e.Load.CacheUse)
 		if e.Slots <= 0 || e.Load.Running < 0 || e.Load.Queued < 0 || e.Load.QueuedTokens < 0 || e.Load.At.After(now) {
 			t.Errorf("endpoint %+v has invalid numbers", e)
 		}
--- a/wire/gossip.go
+++ b/wire/gossip.go
@@ -43,7 +43,7 @@
 // message.
 //
 // Because of hash collisions, an id may stand for an origin other than the sender meant. A delta computed from such a
-// mark has no effect at the sender, and the beats are protected by a checksum.
+// mark has no effect at the sender, and the heartbeat counters are protected by a checksum.
 func DecodeMarks(m *wiregen.ShareMarks, known []membership.Mark) (marks []membership.Mark, positions map[string]int) {
 	byID := map[uint32]int{}
 	for i, id := range m.GetIds() {
@@ -61,8 +61,8 @@
 	return marks, positions
 }
 
-// EncodeBeats returns the message for the deltas that only raise the beat of a mark in the request, and the remaining
-// deltas. The message is nil if there are no such deltas.
+// EncodeBeats returns the message for the deltas that only raise the heartbeat counter of a mark in the request,
+// and the remaining deltas. The message is nil if there are no such deltas.
 func EncodeBeats(deltas []membership.Delta[membership.Fact], request *wiregen.ShareMarks, positions map[string]int) (*wiregen.ShareBeats, []membership.Delta[membership.Fact]) {
 	m := &wiregen.ShareBeats{}
 	var rest []membership.Delta[membership.Fact]
@@ -84,8 +84,8 @@
 	return m, rest
 }
 
-// DecodeBeats returns the beats received in answer to the requested marks as deltas. It returns nil if the checksum
-// shows that the responder mistook the origin of a mark.
+// DecodeBeats returns the heartbeat counters received in answer to the requested marks as deltas. It returns nil if the
+// checksum shows that the responder mistook the origin of a mark.
 func DecodeBeats(m *wiregen.ShareBeats, requested []membership.Mark) []membership.Delta[membership.Fact] {
 	var deltas []membership.Delta[membership.Fact]
 	var origins []uint64
