--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -197,7 +197,7 @@
 	})
 }
 
-func TestDeferrableGivesWay(t *testing.T) {
+func TestDeferrableNeedsSpareCapacity(t *testing.T) {
 	q := NewQueue[int]()
 	deferrable := waiting("lahore-club", 3, 10, 1)
 	deferrable.Deferrable = true
--- a/admission/decide.go
+++ b/admission/decide.go
@@ -52,7 +52,7 @@
 	r.waiting = false
 }
 
-// Started records that waiting work of that many tokens has started.
+// Started records that waiting work of the given number of tokens has started.
 func (r *StartRate) Started(now time.Time, tokens int) {
 	r.tokens += tokens
 	r.addBusyTime(now)
@@ -102,7 +102,7 @@
 	}
 }
 
-// Started records that work of that many tokens has started.
+// Started records that work of the given number of tokens has started.
 func (a *RefusalAudit) Started(now time.Time, tokens int) {
 	a.startedTokens += int64(tokens)
 	kept := a.tracked[:0]
@@ -118,5 +118,5 @@
 	a.tracked = kept
 }
 
-// Refusals returns the number of refusals and of wrong ones among them.
+// Refusals returns the number of refusals, and how many of them were wrong.
 func (a *RefusalAudit) Refusals() (all, wrong int) { return a.total, a.wrong }
--- a/capacity/choose.go
+++ b/capacity/choose.go
@@ -81,7 +81,7 @@
 	Full bool
 }
 
-// EstimateWait estimates the wait of w at c if the endpoint has to prefill that many uncached tokens.
+// EstimateWait estimates the wait of w at c if the endpoint has to prefill the given number of uncached tokens.
 func EstimateWait(c Candidate, w Work, uncached int64, s Speed) WaitEstimate {
 	d := s.Base + inflateWait(
 		s.PrefillTokenTime*time.Duration(c.Outstanding.PromptTokens.Before(w.Rank)+uncached), s.Overtaking.Prefill[w.Rank],
@@ -107,7 +107,7 @@
 	return inflateWait(s.SlotTime*time.Duration(ahead)/time.Duration(c.Slots), s.Overtaking.Slots[rank])
 }
 
-// DecodeCost returns the cost of the slower decoding at an endpoint that spends the share busy of its time on prefill.
+// DecodeCost returns the cost of slower decoding at an endpoint that spends the fraction busy of its time on prefill.
 func DecodeCost(w Work, busy float64) time.Duration {
 	return time.Duration(decodeWeight * busy * float64(w.OutputTokens) * float64(prefillChunkTime))
 }
@@ -177,10 +177,10 @@
 	if len(shared) == 0 {
 		return -1
 	}
-	subject := shared[len(shared)-1].ID
+	partID := shared[len(shared)-1].ID
 	best, highest := -1, uint64(0)
 	for i, c := range candidates {
-		if weight := xxhash.Sum64String(subject + "\x00" + c.ID); best < 0 || weight > highest {
+		if weight := xxhash.Sum64String(partID + "\x00" + c.ID); best < 0 || weight > highest {
 			best, highest = i, weight
 		}
 	}
--- a/capacity/choose_test.go
+++ b/capacity/choose_test.go
@@ -18,35 +18,35 @@
 	return all
 }
 
-func plan(subject string) Work {
+func sharedPrefixWork(partID string) Work {
 	return Work{
-		Parts:        []Part{{ID: "system", Tokens: 512}, {ID: subject, Tokens: 4870}, {ID: "own", Tokens: 6610}},
+		Parts:        []Part{{ID: "system", Tokens: 512}, {ID: partID, Tokens: 4870}, {ID: "own", Tokens: 6610}},
 		PromptTokens: 11_992, OutputTokens: 384,
 	}
 }
 
-// TestSubjectsStay checks that requests with the same shared part go to the same engine while the engines are idle,
+// TestPrefixAffinity checks that requests with the same shared part go to the same engine while the engines are idle,
 // also through gateways that share no state.
-func TestSubjectsStay(t *testing.T) {
+func TestPrefixAffinity(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	for subject := range 50 {
-		w := plan(fmt.Sprintf("subject-%d", subject))
+	for prefix := range 50 {
+		w := sharedPrefixWork(fmt.Sprintf("subject-%d", prefix))
 		first, ok := Choose(candidates(5), w, NewSpeed(), 0, time.Second, rng.Float64())
 		if !ok || !first.Preferred {
-			t.Fatalf("subject %d: %+v", subject, first)
+			t.Fatalf("subject %d: %+v", prefix, first)
 		}
 		for range 10 {
 			if again, _ := Choose(candidates(5), w, NewSpeed(), 0, time.Second, rng.Float64()); again.Index != first.Index {
-				t.Fatalf("subject %d went to %d and to %d", subject, first.Index, again.Index)
+				t.Fatalf("subject %d went to %d and to %d", prefix, first.Index, again.Index)
 			}
 		}
 	}
 }
 
-// TestSubjectSpills adds a backlog at the preferred engine of a shared part: with a short one requests still go there,
-// with a long one they go elsewhere.
-func TestSubjectSpills(t *testing.T) {
-	w := plan("subject")
+// TestPrefixAffinityUnderBacklog adds a backlog at the preferred engine of a shared part: with a short one requests
+// still go there, with a long one they go elsewhere.
+func TestPrefixAffinityUnderBacklog(t *testing.T) {
+	w := sharedPrefixWork("subject")
 	preferred, _ := Choose(candidates(5), w, NewSpeed(), 0, time.Second, 0)
 	for _, c := range []struct {
 		backlog int64
@@ -61,11 +61,11 @@
 	}
 }
 
-// TestSubjectFetched adds a long backlog at the preferred engine of a shared part: the engine that serves the request
-// fetches the parts from there, unless the preferred one is failing or slow.
-func TestSubjectFetched(t *testing.T) {
+// TestFetchFromPreferred adds a long backlog at the preferred engine of a shared part: the engine that serves the
+// request fetches the parts from there, unless the preferred one is failing or slow.
+func TestFetchFromPreferred(t *testing.T) {
 	const fetch = 255 * time.Nanosecond
-	w := plan("subject")
+	w := sharedPrefixWork("subject")
 	preferred, _ := Choose(candidates(5), w, NewSpeed(), fetch, time.Second, 0)
 	if preferred.FetchFrom >= 0 || !preferred.Preferred {
 		t.Fatalf("idle: %+v", preferred)
@@ -271,8 +271,8 @@
 	if got := s.Hold(short, 0); got < 235*time.Millisecond || got > 240*time.Millisecond {
 		t.Errorf("a short answer holds %v, want about 240ms", got)
 	}
-	desk := NewSpeed().WithCompleted(plain, 0, 30*time.Millisecond)
-	if got := desk.Hold(plain, 0); got != 30*time.Millisecond {
+	plainSpeed := NewSpeed().WithCompleted(plain, 0, 30*time.Millisecond)
+	if got := plainSpeed.Hold(plain, 0); got != 30*time.Millisecond {
 		t.Errorf("a plain request holds %v", got)
 	}
 }
@@ -355,7 +355,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 46, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			all, w := candidates(n), plan("subject")
+			all, w := candidates(n), sharedPrefixWork("subject")
 			for b.Loop() {
 				Choose(all, w, NewSpeed(), 0, time.Second, 0.5)
 			}
--- a/capacity/outcomes.go
+++ b/capacity/outcomes.go
@@ -34,7 +34,7 @@
 	return Outcomes{Ended: o.Ended * decay, Failed: o.Failed * decay, At: now}
 }
 
-// With returns the outcomes with a request that ended now.
+// With returns the outcomes including a request that ended now.
 func (o Outcomes) With(now time.Time, failed bool) Outcomes {
 	o = o.Now(now)
 	o.Ended++
--- a/capacity/outstanding.go
+++ b/capacity/outstanding.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Ranks is the number of ranks; the last one is that of requests that will be late.
+// Ranks is the number of scheduling ranks. Rank 0 is the most urgent; the last one holds requests that will be late.
 const Ranks = 4
 
 // Rank returns the rank of a request from its route's priority, of which zero is the most urgent, or the last rank if
@@ -105,7 +105,7 @@
 	return max(uncached, 0)
 }
 
-// Load returns the outstanding work of one request without a first chunk yet, with that many uncached tokens.
+// Load returns the outstanding work of one request before its first chunk, with the given number of uncached tokens.
 func (w Work) Load(uncached int64) Outstanding {
 	o := Outstanding{Requests: 1, HeldTokens: uncached + w.OutputTokens}
 	o.Waiting[w.Rank], o.PromptTokens[w.Rank] = 1, uncached
--- a/capacity/overtaking.go
+++ b/capacity/overtaking.go
@@ -32,7 +32,7 @@
 	return d
 }
 
-// With returns the demand with a request of the rank that is sent now, with that many uncached tokens.
+// With returns the demand including a request of the rank that is sent now with the given number of uncached tokens.
 func (d Demand) With(now time.Time, rank int, w Work, uncached int64, s Speed) Demand {
 	d = d.decayTo(now)
 	d.slots[rank] += s.Hold(w, uncached).Seconds() / demandTimeConstant.Seconds()
--- a/capacity/speed.go
+++ b/capacity/speed.go
@@ -63,7 +63,7 @@
 	return s
 }
 
-// Hold returns the expected time that a request with that many uncached tokens holds its slot.
+// Hold returns the expected time that a request with the given number of uncached tokens holds its slot.
 func (s Speed) Hold(w Work, uncached int64) time.Duration {
 	if w.OutputTokens == 0 {
 		return s.SlotTime
--- a/capacity/window.go
+++ b/capacity/window.go
@@ -24,8 +24,8 @@
 // Add counts an event.
 func (w *Window) Add(now time.Time) { w.times = append(w.times, now) }
 
-// Share returns the share of a whole number that falls to the holder with the given rank, from 0 in an order that all n
-// holders agree on. The shares add up to the whole; if n is not positive, Share returns the whole.
+// Share divides whole among n holders and returns the part of the holder with the given rank, which counts from 0 in an
+// order that all holders agree on. The parts add up to whole; if n is not positive, Share returns whole.
 func Share(whole, n, rank int) int {
 	if n <= 0 {
 		return whole
--- a/completion/request.go
+++ b/completion/request.go
@@ -64,7 +64,7 @@
 
 // Error names the field and its minimum.
 func (e *RangeError) Error() string {
-	return fmt.Sprintf("completion request: field %q is at least %d", e.Field, e.Min)
+	return fmt.Sprintf("completion request: field %q must be at least %d", e.Field, e.Min)
 }
 
 // message is the JSON form of a chat message.
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -38,7 +38,7 @@
 	revision  int64
 	inventory *inventory.Inventory
 	answers   map[string]Answer
-	// answerOrder holds the change IDs, oldest first; the answers to the first evicted IDs are no longer kept.
+	// answerOrder holds the change IDs, oldest first; evicted is how many at its start have no stored answer any more.
 	answerOrder []string
 	evicted     int
 }
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -96,10 +96,10 @@
 }
 
 // others returns all servers except one.
-func (c *cluster) others(but *server) []*server {
+func (c *cluster) others(except *server) []*server {
 	var others []*server
 	for _, s := range c.servers {
-		if s != but {
+		if s != except {
 			others = append(others, s)
 		}
 	}
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -17,7 +17,7 @@
 	next  int64
 	// inflightSince is the time at which the entries not yet acknowledged were sent, or zero if there are none.
 	inflightSince time.Time
-	// inflightRound is the round in which they were sent; a reply to a later round means that they were lost.
+	// inflightRound is the round in which these entries were sent; a reply to a later round means that they were lost.
 	inflightRound int64
 	// ackedAt and ackedRound are the send time and the round of the newest acknowledged request.
 	ackedAt    time.Time
--- a/dispatch/abandon_test.go
+++ b/dispatch/abandon_test.go
@@ -27,8 +27,8 @@
 	return err
 }
 
-// counselRequest returns a request with one of 20 prefixes and an answer of 40 tokens on average.
-func counselRequest(rng *rand.Rand, id string) Request {
+// sharedPrefixRequest returns a request with one of 20 shared prefixes and an answer of 40 tokens on average.
+func sharedPrefixRequest(rng *rand.Rand, id string) Request {
 	r := request(id, 1+rng.IntN(79), "plan", 30*time.Second)
 	prefix := rng.IntN(20)
 	for block := range 8 {
@@ -91,7 +91,7 @@
 		wg.Go(func() {
 			for n := 0; time.Since(began) < time.Minute; n++ {
 				time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
-				res.sendCanceling(w, region, began, rng, counselRequest(rng, fmt.Sprintf("%s-%d", region, n)), &wg)
+				res.sendCanceling(w, region, began, rng, sharedPrefixRequest(rng, fmt.Sprintf("%s-%d", region, n)), &wg)
 			}
 		})
 	}
--- a/dispatch/burst_test.go
+++ b/dispatch/burst_test.go
@@ -39,7 +39,7 @@
 		wg.Go(func() {
 			for n := 0; time.Since(began) < 40*time.Second; n++ {
 				time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
-				r := counselRequest(rng, fmt.Sprintf("%s-%d", region, n))
+				r := sharedPrefixRequest(rng, fmt.Sprintf("%s-%d", region, n))
 				for block := range r.Prefixes {
 					r.Prefixes[block] += uint64(i) * 1_000_000
 				}
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -8,7 +8,7 @@
 	"arbutusreel/routing"
 )
 
-// explain logs a decision for the own region with the terms of the chosen endpoint and of the runner-up.
+// explain logs a decision for the local region with the terms of the chosen endpoint and of the runner-up.
 func (s *scheduler) explain(j *job, d routing.Decision, action string) {
 	event := s.requestEvent(j).
 		Str("action", action).
@@ -23,7 +23,7 @@
 	event.Msg("routed")
 }
 
-// explainForward logs that a request is forwarded to another region; ownTerms are the terms of the own region, or nil
+// explainForward logs that a request is forwarded to another region; ownTerms are the terms of the local region, or nil
 // if it cannot serve the request.
 func (s *scheduler) explainForward(j *job, d routing.RegionDecision, ownTerms *routing.Terms, reason string) {
 	event := s.requestEvent(j).
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -8,15 +8,15 @@
 	retryAfterNoCapacity = time.Second
 	// refreshPeriod is the age at which the known endpoints and regions are read again.
 	refreshPeriod = 50 * time.Millisecond
-	// discoveryTime is how long after its start, and after it last knew an endpoint, an instance lets requests wait
-	// for endpoints that are not known yet.
+	// discoveryTime is how long an instance lets requests wait for an endpoint to become known, from its start or
+	// from the time at which it last knew an endpoint.
 	discoveryTime = 3 * time.Second
 	// recheckPeriod is the period at which a waiting request is checked again.
 	recheckPeriod = 50 * time.Millisecond
 	// minShortageTime is how long requests must have waited for endpoints before a region that has such endpoints
 	// forwards others, so that a stale report alone is no reason to.
 	minShortageTime = 500 * time.Millisecond
-	// optionalForwardShare is the share of the requests that may be forwarded to a better region although the own
+	// optionalForwardShare is the share of the requests that may be forwarded to a better region although the local
 	// region could serve them, and maxOptionalForwards the largest number of them at once.
 	optionalForwardShare = 0.015
 	maxOptionalForwards  = 8
--- a/dispatch/measure_test.go
+++ b/dispatch/measure_test.go
@@ -146,7 +146,8 @@
 	return list[min(int(q*float64(len(list))), len(list)-1)]
 }
 
-func lunchRequest(rng *rand.Rand, id string) Request {
+// mixedClassRequest returns a request of a random class with an answer of bounded log-normal length.
+func mixedClassRequest(rng *rand.Rand, id string) Request {
 	used := min(max(int(math.Exp(5+0.6*rng.NormFloat64())), 5), 2048)
 	class, patience := "plan", time.Minute
 	switch rng.IntN(10) {
@@ -163,10 +164,10 @@
 	return r
 }
 
-// TestMeasureLunchClubCost finds how many engines of 8192 cache tokens serve 99 in 100 requests of one load within
+// TestMeasureReservationCost finds how many engines of 8192 cache tokens serve 99% of the requests of one load within
 // their patience if a request reserves what it asks for, and if it reserves the learned quantile. The cost of a fleet
 // is proportional to the number of its engines.
-func TestMeasureLunchClubCost(t *testing.T) {
+func TestMeasureReservationCost(t *testing.T) {
 	const rate, duration = 4.0, 2 * time.Minute
 	const most = 15
 	needed := map[float64]int{0: most + 1, 0.9: most + 1}
@@ -186,7 +187,7 @@
 				w := newWorld(mustInventory(c), measureSeed, engines, 2, expected)
 				var demands []demand
 				for _, region := range regionNames {
-					demands = append(demands, demand{region: region, perSecond: steady(rate), make: lunchRequest})
+					demands = append(demands, demand{region: region, perSecond: steady(rate), make: mixedClassRequest})
 				}
 				res := offerLoad(w, measureSeed, duration, demands)
 				share, tokens := res.served()
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -55,7 +55,7 @@
 	return nil, w, err
 }
 
-// startNow starts the request in the own region or forwards it to another one; it returns nil if it does neither.
+// startNow starts the request in the local region or forwards it to another one; it returns nil if it does neither.
 func (s *scheduler) startNow(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) *placement {
 	if p := s.tryForward(now, j, q, d, local); p != nil {
 		return p
@@ -103,7 +103,7 @@
 	return now.Sub(s.startedAt) < discoveryTime && !j.request.Forwarded(s.self.Region)
 }
 
-// choose returns the best endpoint of the own region that may run the request.
+// choose returns the best endpoint of the local region that may run the request.
 func (s *scheduler) choose(now time.Time, j *job) (routing.Decision, bool) {
 	if !residency.Allows(j.inventory, j.request.Subject(), s.self.Region) {
 		return routing.Decision{}, false
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -154,7 +154,7 @@
 	return ahead
 }
 
-// appendQuery appends the query of a waiting request, unless the request may not run in the own region.
+// appendQuery appends the query of a waiting request, unless the request may not run in the local region.
 func (s *scheduler) appendQuery(ahead []*routing.Query, other *job) []*routing.Query {
 	if !residency.Allows(other.inventory, other.request.Subject(), s.self.Region) {
 		return ahead
--- a/fleet/nearest_test.go
+++ b/fleet/nearest_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestNearest guards against sending callers to another region while a gateway of their own region still takes
-// requests, be it a lingering one.
+// requests, even if it is lingering.
 func TestNearest(t *testing.T) {
 	gateway := func(name, region string, ready, lingering bool) Gateway {
 		return Gateway{Name: name, Region: region, Ready: ready, Lingering: lingering}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -195,7 +195,7 @@
 	v := &view{table: table, endpoints: map[string][]fleet.Endpoint{}, updatedAt: time.Now(), current: true}
 	for i, e := range endpoints {
 		v.endpoints["desk"] = append(v.endpoints["desk"], fleet.Endpoint{ID: e.id, Born: 1, Service: "desk", Address: e.address, Slots: 8, LastSeen: time.Now()})
-		// A later endpoint looks slower, so that the order of attempts is fixed.
+		// The latency factor rises from one endpoint to the next, so that the order of attempts is fixed.
 		g.placer.states[e.id] = &endpointState{
 			born: 1, health: capacity.Health{Factor: 2 + 2*float64(i)}, cachedParts: map[string]time.Time{}, coldWindow: capacity.NewWindow(time.Second),
 		}
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -77,25 +77,25 @@
 	}
 }
 
-// TestColdSharesAtStart starts the gateways of a region one after the other, each of which the others learn of a tenth
-// of a second later, and then partitions them into two halves: a cold endpoint never gets more than its limit.
+// TestColdSharesAtStart starts the gateways of a region one after another, where the others discover each one 100 ms
+// after its start, and then partitions them into two halves: a cold endpoint never gets more than its limit.
 func TestColdSharesAtStart(t *testing.T) {
 	const (
-		gateways = 4
-		apart    = 450 * time.Millisecond
-		naming   = 100 * time.Millisecond
-		cutAt    = 5 * time.Second
+		gateways       = 4
+		startInterval  = 450 * time.Millisecond
+		discoveryDelay = 100 * time.Millisecond
+		partitionAt    = 5 * time.Second
 	)
 	start := time.Unix(1000, 0)
 	e := fleet.Endpoint{ID: "cold", Born: 7, Service: "model", Slots: 128, State: fleet.Ready, ColdUntil: start.Add(time.Hour)}
 	placers, all, r, s := newPlacers(t, gateways, e)
-	// named returns the view of a gateway at a time.
-	named := func(i int, at time.Duration) *view {
+	// viewOf returns the view of a gateway at a time.
+	viewOf := func(i int, at time.Duration) *view {
 		v := *all
 		v.gateways = nil
 		for j := range gateways {
-			cut := at > cutAt && i/2 != j/2
-			if at >= time.Duration(j)*apart+naming && !cut {
+			cut := at > partitionAt && i/2 != j/2
+			if at >= time.Duration(j)*startInterval+discoveryDelay && !cut {
 				v.gateways = append(v.gateways, all.gateways[j])
 			}
 		}
@@ -105,10 +105,10 @@
 	for at := time.Duration(0); at < 8*time.Second; at += 10 * time.Millisecond {
 		now := start.Add(at)
 		for i, p := range placers {
-			if at < time.Duration(i)*apart {
+			if at < time.Duration(i)*startInterval {
 				continue
 			}
-			if place := p.decide(now, named(i, at), ask(r, s)); place.endpoint.ID == "cold" {
+			if place := p.decide(now, viewOf(i, at), ask(r, s)); place.endpoint.ID == "cold" {
 				p.begin(now, "model", capacity.Work{}, place).end(now, succeeded)
 				sent = append(sent, at)
 			}
@@ -261,9 +261,9 @@
 	}
 }
 
-// TestFastFailingEndpoint makes one of three endpoints fail every request at once, so that it never has any outstanding
-// and looks idle: three gateways that share their outcomes soon send it almost nothing. If all endpoints fail equally
-// often, requests are spread evenly.
+// TestFastFailingEndpoint makes one of three endpoints fail every request at once, so that it never has requests
+// outstanding and looks idle: three gateways that share their outcomes soon send it almost nothing. If all endpoints
+// fail equally often, requests are spread evenly.
 func TestFastFailingEndpoint(t *testing.T) {
 	for name, fails := range map[string]func(id string, i int) bool{
 		"one":  func(id string, _ int) bool { return id == "a" },
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// outcomeHeader carries the outcome of a request that a gateway answers itself to another gateway.
+	// outcomeHeader tells another gateway the outcome of a request that this gateway answers itself, without the answer
+	// of an endpoint.
 	outcomeHeader = "Arbutusreel-Outcome"
 	// attemptsHeader carries the number of endpoints that another gateway may send the request to.
 	attemptsHeader = "Arbutusreel-Attempts"
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -322,7 +322,7 @@
 }
 
 // TestPausedStream pauses a stream for longer than the timeout for its first piece, at a local endpoint and behind
-// another gateway: it is not broken off, as engines that run out of memory pause streams.
+// another gateway: the gateway does not abort it, as engines that run out of memory pause streams.
 func TestPausedStream(t *testing.T) {
 	const pause = 1600 * time.Millisecond
 	slow := func(c *endpointConn, r *http.Request, _ int) bool {
--- a/limits/account.go
+++ b/limits/account.go
@@ -59,7 +59,7 @@
 	borrowedLeases map[string]borrowedLease
 	pendingAsks    map[string]pendingAsk
 	lastNumber     uint64
-	// owner is the owner of the own region's share, and previousOwner the one before this instance became the owner.
+	// owner is the owner of the local region's share, and previousOwner the one before this instance became the owner.
 	owner         string
 	previousOwner string
 	// departed reports that the instance owned a share when it left, and successor is the first instance that it
@@ -167,7 +167,7 @@
 	return max(a.demand.rate(now)*demandHeadroomFactor, a.idleRate)
 }
 
-// fairShare returns the max-min fair share of the own rate for a demand among all known demands.
+// fairShare returns the max-min fair share of a demand, among all known demands, in the rate that the instance owns.
 func (a *account) fairShare(now time.Time, want float64) float64 {
 	wants := []float64{a.desiredRate(now)}
 	for borrower, w := range a.requested {
--- a/limits/handover.go
+++ b/limits/handover.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// setOwner records the owner of the own region's share.
+// setOwner records the owner of the local region's share.
 func (a *account) setOwner(owner string) {
 	if owner == a.owner {
 		return
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -21,7 +21,7 @@
 const (
 	// homeShare is the fraction of a limit that the team's home region owns, if there are other regions.
 	homeShare = 0.5
-	// idleShare is the fraction of a limit that all instances together keep or ask for without demand.
+	// idleShare is the fraction of a limit that all instances together keep or ask for when they have no demand.
 	idleShare = 0.1
 	// demandHeadroomFactor is the ratio of the rate that is asked for to the demand.
 	demandHeadroomFactor = 1.25
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -107,7 +107,7 @@
 
 // TestNeverMoreThanLimit checks that the rates in use never sum to more than the limit, and that what is spent stays
 // within the limit, the burst and one request of each instance, under loss, delay, duplication, isolated regions and
-// clocks that differ by 2 in 100.
+// clocks that differ by 2%.
 func TestNeverMoreThanLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(rapid.IntRange(1, 3).Draw(t, "perRegion"))
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestLoanEndsAtBorrowerFirst checks that a lease expires at the borrower first if the lender's clock runs faster by 2
-// in 100 and the lender answers at once.
-func TestLoanEndsAtBorrowerFirst(t *testing.T) {
+// TestLeaseExpiresAtBorrowerFirst checks that a lease expires at the borrower first if the lender's clock runs 2%
+// faster and the lender answers at once.
+func TestLeaseExpiresAtBorrowerFirst(t *testing.T) {
 	n := newNetwork(2)
 	owner, _ := Owner("club", "lahore", n.members)
 	lender := n.index(owner)
--- a/limits/teams.go
+++ b/limits/teams.go
@@ -111,8 +111,8 @@
 	a.setOwnRate(now, ownRate)
 }
 
-// Asks returns the asks to the owners: to the own region's owner for the desired rate, to the other regions' owners
-// for what the own region has not granted, and to a previous owner for a handover.
+// Asks returns the asks to the owners: to the local region's owner for the desired rate, to the other regions' owners
+// for what the local region has not granted, and to a previous owner for a handover.
 func (t *Teams) Asks(now time.Time) []Ask {
 	var asks []Ask
 	for _, team := range slices.Sorted(maps.Keys(t.accounts)) {
@@ -136,7 +136,7 @@
 	return asks
 }
 
-// localRate returns the rate that the instance has from its own region.
+// localRate returns the rate that the instance has from the local region's share.
 func (a *account) localRate(now time.Time, owner string) float64 {
 	if owner == a.self {
 		return max(a.usableOwnRate(now)-a.leasedOut(now), 0)
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -71,8 +71,9 @@
 	return v
 }
 
-// BenchmarkDecide measures one decision over fleets of growing size: the first one, before a need has persisted; one
-// that orders as many changes as other engines permit; and the same in a rollout with adapters.
+// BenchmarkDecide measures one decision over fleets of growing size: the first one, which orders no change for a need
+// that has not persisted yet; one without that wait, which orders at most MaxPlacementChanges changes; and the same in
+// a rollout with adapters.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ regions, engines int }{{3, 30}, {9, 270}, {21, 2100}, {21, 6195}} {
 		v := fleet(b, size.regions, size.engines)
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -23,9 +23,9 @@
 	cooldownUntil map[string]time.Time
 	// storeFreeAt is the time from which a region's weight store can serve a new load.
 	storeFreeAt map[string]time.Time
-	// seenLoads holds the number of the order of each announced load in progress, by endpoint.
+	// seenLoads holds the order number of each announced load in progress, by endpoint.
 	seenLoads map[string]fencing.Number
-	// adopted are the endpoints whose loads the last decision adopted.
+	// adopted are the endpoints whose loads, ordered by an earlier leader, the last decision recorded as pending.
 	adopted []Endpoint
 	// needSince is the time since which a need has been present without interruption.
 	needSince map[modelKey]time.Time
@@ -102,7 +102,7 @@
 // adoptLoads records as pending each announced load that this planner did not order, which is one of an earlier
 // leader. As the start of the load is unknown, the weight store counts as busy for the whole load time from now on.
 // Each order is adopted only once, so that an endpoint that never finishes its load is blocked no longer than by an
-// own order.
+// order of this planner.
 func (p *Planner) adoptLoads(now time.Time, v View) {
 	previous := p.seenLoads
 	p.seenLoads = map[string]fencing.Number{}
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// checkVersions checks that the engine holds no old version that enough others serve in the meantime.
+// checkVersions checks that the engine holds no outdated version of a model that more than least engines serve.
 func (w *world) checkVersions(e *emulatedEngine, copies map[string]int, least int) {
 	for _, name := range e.Models {
 		model, _, version := split(name)
--- a/placement/propose.go
+++ b/placement/propose.go
@@ -213,7 +213,7 @@
 	return met
 }
 
-// minGain returns the smallest gain that outweighs a load of that many seconds, in tokens a second.
+// minGain returns the smallest gain that outweighs a load that takes the given seconds, in tokens a second.
 func (g *group) minGain(m *member, seconds float64) float64 {
 	return max(g.cfg.MinGain, seconds/g.cfg.Horizon.Seconds()) * m.TokensPerSecond
 }
--- a/placement/types.go
+++ b/placement/types.go
@@ -25,8 +25,8 @@
 	Leaving         bool
 }
 
-// Demand is the token rate that callers in a region request of a model or adapter; an empty AllowedRegions allows every
-// region.
+// Demand is the token rate that callers in a region request from a model or adapter; an empty AllowedRegions allows
+// every region.
 type Demand struct {
 	Region          string
 	Service         string
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -23,12 +23,12 @@
 	lastObservation uint64
 	load            load
 	slowStart       SlowStart
-	// pool is the endpoint's cache, with the reservations of own requests.
+	// pool is the endpoint's cache, with the reservations of this chooser's requests.
 	pool admission.Pool
 	// serviceTime is the moving average of the time from the start to the end of a request, in seconds; zero if none
 	// has ended.
 	serviceTime float64
-	// ownRequests is the number of own requests outstanding.
+	// ownRequests is the number of this chooser's requests outstanding at the endpoint.
 	ownRequests int
 }
 
@@ -55,8 +55,8 @@
 
 func (c *Candidate) slots() float64 { return float64(max(c.endpoint.Slots, 1)) }
 
-// hasCapacity reports whether a request with that many uncached prompt tokens and that reservation could start at once.
-// Requests of other instances are assumed to reserve as much as own ones on average.
+// hasCapacity reports whether a request with the given uncached prompt tokens and reservation could start at once.
+// Requests of other instances are assumed to reserve as much on average as those of this one.
 func (c *Candidate) hasCapacity(now time.Duration, t *table, tokens, reserve int) bool {
 	outstanding := c.load.outstanding(now, c.ownRequests, t.meanOthers)
 	if outstanding > c.slots()-minFreeSlots && !c.belowFairShare(outstanding, t.instances) {
--- a/routing/chooser.go
+++ b/routing/chooser.go
@@ -19,7 +19,7 @@
 	candidates []*Candidate
 	// meanOthers is the mean number of others' requests at a candidate.
 	meanOthers float64
-	// meanReservation is the moving average of the reservations of own requests, in tokens.
+	// meanReservation is the moving average of the reservations of this chooser's requests, in tokens.
 	meanReservation float64
 	// instances is the number of instances in the region.
 	instances int
@@ -228,9 +228,9 @@
 	t.meanOthers = sum / float64(max(len(t.candidates), 1))
 }
 
-// extrapolateOthers assumes that others' requests have changed since the reports in the same ratio as own requests, as
-// callers spread over the instances. Without this, each instance would fill the same free slots after a burst, until
-// the next reports.
+// extrapolateOthers assumes that others' requests have changed since the reports in the same ratio as this instance's,
+// as callers spread over the instances. Without this, each instance would fill the same free slots after a burst,
+// until the next reports.
 func (t *table) extrapolateOthers() {
 	own, since, others := 0, 0, 0.0
 	for _, candidate := range t.candidates {
--- a/routing/chooser_test.go
+++ b/routing/chooser_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestLoadEqualsCount checks the load estimate against a plain count of own requests, with reports and ends of requests
-// at random times.
+// TestLoadEqualsCount checks the load estimate against a plain count of the chooser's requests, with reports and ends
+// of requests at random times.
 func TestLoadEqualsCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newChooser(engines(1))
@@ -261,9 +261,9 @@
 	}
 }
 
-// TestOthersFollowBurst sends a burst through one of three instances between two reports. The other instances are
-// expected to have sent as many requests each, as before the burst, so no capacity is left once three times the own
-// requests fill the slots.
+// TestOthersFollowBurst sends a burst through one of three instances between two reports. Before the burst all three
+// sent equally many requests, so the other two are expected to have sent as many in the burst too, and no capacity is
+// left once three times this instance's requests fill the slots.
 func TestOthersFollowBurst(t *testing.T) {
 	c := New(Expected{}, origin, rand.NewPCG(1, 1))
 	c.SetInstances(3)
--- a/routing/link.go
+++ b/routing/link.go
@@ -9,7 +9,7 @@
 	at    time.Duration
 }
 
-// newLink returns a full bucket for a link of that many bytes per second.
+// newLink returns a full bucket for a link of the given bandwidth.
 func newLink(now time.Duration, bytesPerSecond int64) *Link {
 	l := &Link{at: now}
 	l.setRate(bytesPerSecond)
--- a/routing/load.go
+++ b/routing/load.go
@@ -9,12 +9,13 @@
 	tokens   int
 }
 
-// load estimates the load of an endpoint or region from its last report and the own changes since.
+// load estimates the load of an endpoint or region from its last report and this instance's changes since. The others
+// are the other instances that send requests there.
 type load struct {
 	reportedAt time.Duration
 	requests   float64
 	tokens     float64
-	// changes holds the own changes after reportedAt in time order, starting at index first.
+	// changes holds this instance's changes after reportedAt in time order, starting at index first.
 	changes             []loadChange
 	first               int
 	requestsSinceReport int
@@ -42,7 +43,7 @@
 // maxChanges bounds the number of changes kept between two reports; older ones are folded into the report.
 const maxChanges = 1024
 
-// add records an own change.
+// add records a change by this instance.
 func (l *load) add(now time.Duration, requests, tokens int) {
 	if len(l.changes) >= maxChanges {
 		oldest := l.changes[0]
@@ -63,13 +64,13 @@
 	return float64(reportHalfLife) / float64(reportHalfLife+age)
 }
 
-// others returns the number of others' requests in the report; own is the current number of own requests.
+// others returns the number of others' requests in the report; own is the current number of this instance's requests.
 func (l *load) others(own int) float64 {
 	return max(l.requests-float64(own-l.requestsSinceReport), 0)
 }
 
-// outstanding returns the expected number of requests at the endpoint: the own ones, and those of others from the
-// report. An old report is discounted towards mean, and the expected change since the report is added.
+// outstanding returns the expected number of requests at the endpoint: own, which are this instance's, and those of
+// others from the report. An old report is discounted towards mean, and the expected change since the report is added.
 func (l *load) outstanding(now time.Duration, own int, mean float64) float64 {
 	return float64(own) + max(mean+(l.others(own)-mean)*l.weight(now)+l.othersChange, 0)
 }
@@ -79,8 +80,8 @@
 	return max(l.tokens*l.weight(now)+float64(l.tokensSinceReport), 0)
 }
 
-// decodeTime returns the time in seconds to decode that many tokens in one slot. rate is the slot's rate in tokens per
-// second when all slots of the endpoint are busy; the slot is faster when only the share busy of them is.
+// decodeTime returns the time in seconds to decode the tokens in one slot. rate is the slot's rate in tokens per second
+// when all slots of the endpoint are busy; the slot is faster when busy, the fraction of busy slots, is below 1.
 func decodeTime(tokens int, rate, busy float64) float64 {
 	return float64(tokens) / rate * (1 + contentionSlowdown*min(busy, 1)) / (1 + contentionSlowdown)
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -92,7 +92,7 @@
 // Informed returns false.
 func (LeastOutstanding) Informed() bool { return false }
 
-// Score returns the own outstanding requests per slot.
+// Score returns the chooser's own outstanding requests per slot.
 func (LeastOutstanding) Score(_ time.Duration, c *Candidate, _, _ float64, _ *Query) Terms {
 	return Terms{Score: float64(c.ownRequests) / c.slots()}
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -22,7 +22,7 @@
 // Active reports whether slow start is in progress.
 func (s *SlowStart) Active() bool { return s.active }
 
-// Allows reports whether that many more tokens may be sent; one request is always admitted.
+// Allows reports whether the given number of tokens may be sent in addition; one request is always admitted.
 func (s *SlowStart) Allows(tokens int) bool {
 	return !s.active || s.inFlight == 0 || s.inFlight+tokens <= s.window
 }
