--- a/systemtest/commands_test.go
+++ b/systemtest/commands_test.go
@@ -29,7 +29,7 @@
 	if want := "revision 3 in force at 2 instances"; err != nil || !strings.Contains(out, want) {
 		t.Errorf("apply: %v: %q, want %q", err, out, want)
 	}
-	if out, err := s.command("diff", edited); err != nil || !strings.HasPrefix(out, "the file was made from revision 2; revision 3 is in force") || strings.Contains(out, "->") {
+	if out, err := s.command("diff", edited); err != nil || !strings.HasPrefix(out, "the file is based on revision 2; revision 3 is in force") || strings.Contains(out, "->") {
 		t.Errorf("diff of the inventory in force: %v: %q", err, out)
 	}
 }
