--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -101,7 +101,8 @@
 	return &Waiting[int]{Team: team, Priority: priority, Weight: weight, Tokens: tokens, Since: start, LatestStart: start.Add(time.Hour)}
 }
 
-// TestFairShares checks that two teams with waiting requests are served by their weights, but for one request each.
+// TestFairShares checks that two teams with waiting requests are served in proportion to their weights, up to the work
+// of one request of each.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 100
@@ -133,7 +134,8 @@
 	})
 }
 
-// TestNoStarvation checks that a request of the lowest class starts in time under endless work of higher classes.
+// TestNoStarvation checks that a request of the lowest class starts in time while requests of higher classes keep
+// arriving.
 func TestNoStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue[int]()
--- a/admission/decide.go
+++ b/admission/decide.go
@@ -29,10 +29,12 @@
 // StartRate estimates how fast waiting work starts, in tokens per second of the time in which work waits.
 type StartRate struct {
 	perSecond float64
-	since     time.Time
-	waiting   bool
-	busy      time.Duration
-	tokens    int
+	// since is the time up to which busy has been counted.
+	since   time.Time
+	waiting bool
+	// busy and tokens are the time in which work waited and the tokens started, since the last update of perSecond.
+	busy   time.Duration
+	tokens int
 }
 
 // PerSecond returns the estimated rate in tokens per second, or initial while there is no estimate.
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -4,6 +4,7 @@
 
 // Parameters of the token usage estimate.
 const (
+	// maxTokens is the largest number of tokens recorded for one request.
 	maxTokens         = 1 << 20
 	significantDigits = 1
 	minSamples        = 20
@@ -17,8 +18,8 @@
 // growthFraction is the fraction of its size by which a used-up reservation grows.
 const growthFraction = 0.5
 
-// urgentFraction is the last fraction of its patience, before its latest start, in which a waiting request precedes
-// all priorities.
+// urgentFraction is the last fraction of the time from a request's arrival to its latest start. A request that still
+// waits in it is urgent and precedes requests of all priorities that are not.
 const urgentFraction = 0.25
 
 // Parameters of the start rate estimate: its measuring window and its smoothing factor.
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -6,7 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestMemoryBudget lets holders acquire and release bytes and checks the bounds of all of them.
+// TestMemoryBudget lets holders acquire and release bytes, and checks the bound of each holder, that of all deferrable
+// requests together, and that a holder of nothing is refused at most two thirds of the free bytes only if it is
+// deferrable.
 func TestMemoryBudget(t *testing.T) {
 	holders := []Holder{{Team: "a"}, {Team: "b"}, {Team: "a", Deferrable: true}, {Team: "b", Deferrable: true}}
 	rapid.Check(t, func(t *rapid.T) {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -21,6 +21,7 @@
 	LatestStart time.Time
 	Value       T
 
+	// startTag is the virtual time at which the request may start by start-time fair queueing.
 	startTag float64
 	queued   bool
 }
@@ -50,15 +51,18 @@
 	team     string
 }
 
+// flow holds the waiting requests of one team and priority in the order of their arrival.
 type flow[T any] struct {
 	waiting []*Waiting[T]
 }
 
 // Queue holds waiting requests; within a priority it is fair across teams by their weights.
 type Queue[T any] struct {
-	flows  map[flowKey]*flow[T]
+	flows map[flowKey]*flow[T]
+	// keys are the keys of flows, in the order of compareFlows.
 	keys   []flowKey
 	shares *Shares
+	// tokens is the number of waiting tokens of each priority.
 	tokens map[int]int
 	length int
 }
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -23,7 +23,8 @@
 	samples   int
 	total     int64
 	recorded  int
-	usedAt    uint64
+	// usedAt is the value of UsageEstimator.clock when the sketch was last used.
+	usedAt uint64
 }
 
 func newSketch() *sketch {
@@ -55,7 +56,8 @@
 // UsageEstimator estimates how many tokens requests use from those that have completed.
 type UsageEstimator struct {
 	sketches map[UsageKey]*sketch
-	clock    uint64
+	// clock counts the uses of sketches, so that the least recently used one is known.
+	clock uint64
 }
 
 // NewUsageEstimator returns an estimator without samples.
@@ -111,8 +113,8 @@
 	return nil
 }
 
-// sketch returns the sketch of the key, which it adds if there is none; of too many the least recently used one is
-// evicted.
+// sketch returns the sketch of the key, which it adds if there is none. If there are maxSketches already, it evicts the
+// least recently used one before.
 func (u *UsageEstimator) sketch(k UsageKey) *sketch {
 	u.clock++
 	if s := u.sketches[k]; s != nil {
--- a/capacity/admit.go
+++ b/capacity/admit.go
@@ -50,19 +50,20 @@
 	// the request.
 	Objective time.Duration
 	Remaining time.Duration
-	// RouteObjective is the objective of the route.
+	// RouteObjective is the time from the start of a request until its response should begin, as set for the route.
 	RouteObjective time.Duration
 	// Retried reports whether the request is a retry after a refusal.
 	Retried bool
 }
 
-// IsRetry reports whether a request with that much time left is a retry after a refusal. Callers count their time from
-// the first attempt, so a retry has less left than longest, the longest time left seen on the route.
+// IsRetry reports whether a request is a retry after a refusal, where left is the time until its caller abandons it.
+// Callers count their time from the first attempt, so a retry has less left than longest, the longest time left seen on
+// the route.
 func IsRetry(left, longest time.Duration) bool {
 	return float64(left) < retryTimeShare*float64(longest)
 }
 
-// Admit decides whether to admit a request. expected is the expected time to the first chunk at the request's own rank,
+// Admit decides whether to admit a request. expected is the expected time to the first chunk at the request's rank,
 // and late the same if it is sent with a rank below all requests that can be on time.
 func Admit(expected, late time.Duration, budget TimeBudget) Verdict {
 	if expected <= time.Duration(onTimeShare*float64(budget.Objective)) {
@@ -78,9 +79,10 @@
 	return Refuse
 }
 
-// RetryAfter returns the time after which a refused request should be retried: half of the time by which expected
-// exceeds half of the objective, in which the backlog falls, and up to twice as much again by the draw in [0, 1), so
-// that retries do not all arrive together. It is at most a third of the time left, or minRetryAfter if that is longer.
+// RetryAfter returns the time after which a refused request should be retried. The excess is the time by which expected
+// exceeds half of the route's objective, but at least minRetryAfter. The result is half of the excess, in which the
+// backlog falls, plus the draw in [0, 1) times the excess, so that retries do not all arrive together. It is at most a
+// third of the time left, or minRetryAfter if that is longer.
 func RetryAfter(expected time.Duration, budget TimeBudget, draw float64) time.Duration {
 	excess := max(expected-budget.RouteObjective/2, minRetryAfter)
 	return min(excess/2+time.Duration(draw*float64(excess)), max(budget.Remaining/3, minRetryAfter))
--- a/capacity/choose.go
+++ b/capacity/choose.go
@@ -10,7 +10,7 @@
 	// prefillChunkTime is the additional time per output token while an engine prefills a chunk of a prompt in each
 	// step: chunks of 1,024 tokens at about 100 tokens per millisecond.
 	prefillChunkTime = 10 * time.Millisecond
-	// decodeWeight is the weight of the end of a stream relative to that of its beginning.
+	// decodeWeight is the weight of a delay of the end of a stream relative to a delay of its first chunk.
 	decodeWeight = 0.1
 	// failureCost is the expected cost of a failure, as a multiple of the objective.
 	failureCost = 2.0
@@ -18,7 +18,7 @@
 	// preempts running requests.
 	maxMemoryShare = 0.92
 	// sharedPrefixCost is the cost of prefilling shared parts that another endpoint has cached, as a multiple of the
-	// time that it takes. It is above one because the prefill also delays all requests queued behind it, and the copy
+	// prefill time. It is above one because the prefill also delays all requests queued behind it, and the copy
 	// evicts other parts from the cache.
 	sharedPrefixCost = 3.0
 	// fetchCostShare is the cost of fetching shared parts from the endpoint that has cached them, as a share of the
@@ -115,7 +115,7 @@
 // Choose returns the candidate with the least expected cost, or false if there is none. Requests with the same last
 // shared part go to the endpoint that the part is hashed to, so that shared parts are prefilled only once. They go to
 // another endpoint when the backlog there costs more than fetching the parts from it, at fetch per token, or prefilling
-// them again. The draw in [0, 1) decides between equal candidates.
+// them again. A failure costs a multiple of the objective. The draw in [0, 1) decides between equal candidates.
 func Choose(candidates []Candidate, w Work, s Speed, fetch, objective time.Duration, draw float64) (Choice, bool) {
 	best := Choice{Index: -1}
 	var bestCost time.Duration
--- a/capacity/choose_test.go
+++ b/capacity/choose_test.go
@@ -192,9 +192,9 @@
 	c := candidates(1)[0]
 	c.Outstanding = Outstanding{Requests: 8, Waiting: Backlog{2: 8}, PromptTokens: Backlog{2: 80_000}}
 	urgent := EstimateWait(c, Work{Rank: 0}, 1000, NewSpeed()).Wait
-	plan := EstimateWait(c, Work{Rank: 2}, 1000, NewSpeed()).Wait
-	if alone := EstimateWait(candidates(1)[0], Work{}, 1000, NewSpeed()).Wait; urgent != alone || plan < 3*urgent {
-		t.Errorf("urgent %v, plan %v, alone %v", urgent, plan, alone)
+	low := EstimateWait(c, Work{Rank: 2}, 1000, NewSpeed()).Wait
+	if alone := EstimateWait(candidates(1)[0], Work{}, 1000, NewSpeed()).Wait; urgent != alone || low < 3*urgent {
+		t.Errorf("urgent %v, low priority %v, alone %v", urgent, low, alone)
 	}
 }
 
@@ -205,9 +205,9 @@
 	s := NewSpeed()
 	s.SlotTime = 3 * time.Second
 	c.Outstanding = Outstanding{Requests: 160, Waiting: Backlog{2: 32}}
-	urgent, planned := EstimateWait(c, Work{Rank: 0}, 0, s), EstimateWait(c, Work{Rank: 2}, 0, s)
-	if next := s.Base + s.SlotTime/128; urgent.Wait != next || planned.Wait != s.Base+s.SlotTime*33/128 || !urgent.Full {
-		t.Errorf("urgent %+v, want %v; planned %+v", urgent, next, planned)
+	urgent, low := EstimateWait(c, Work{Rank: 0}, 0, s), EstimateWait(c, Work{Rank: 2}, 0, s)
+	if next := s.Base + s.SlotTime/128; urgent.Wait != next || low.Wait != s.Base+s.SlotTime*33/128 || !urgent.Full {
+		t.Errorf("urgent %+v, want %v; low priority %+v", urgent, next, low)
 	}
 	c.Outstanding.Requests = 100
 	if free := EstimateWait(c, Work{Rank: 2}, 0, s); free.Wait != s.Base || free.Full {
@@ -249,9 +249,9 @@
 // TestHeld checks that the wait before the first chunk does not count towards the time that a slot is held.
 func TestHeld(t *testing.T) {
 	s := NewSpeed()
-	reading := s.Base + 1000*s.PrefillTokenTime
+	unqueued := s.Base + 1000*s.PrefillTokenTime
 	for waited, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second} {
-		if got := s.Held(2*time.Second, reading+waited, 1000); got != want {
+		if got := s.Held(2*time.Second, unqueued+waited, 1000); got != want {
 			t.Errorf("waited %v: held %v, want %v", waited, got, want)
 		}
 	}
@@ -263,7 +263,7 @@
 	s := NewSpeed()
 	long, short, plain := Work{OutputTokens: 400}, Work{OutputTokens: 20}, Work{}
 	if s = s.WithSent(long, 1000); s.SlotTime != s.Hold(long, 1000) {
-		t.Errorf("the first request: usually %v, want %v", s.SlotTime, s.Hold(long, 1000))
+		t.Errorf("slot time %v after the first request, want %v", s.SlotTime, s.Hold(long, 1000))
 	}
 	for range 200 {
 		s = s.WithCompleted(long, 0, 400*12*time.Millisecond)
--- a/capacity/outcomes.go
+++ b/capacity/outcomes.go
@@ -17,7 +17,7 @@
 	maxBaselineFailureRate = 0.25
 	// failureRateTolerance is the share of failures above the baseline that is attributed to chance.
 	failureRateTolerance = 0.2
-	// MaxFailureRate is the share of failures above which an endpoint counts as out of order.
+	// MaxFailureRate is the share of failures above which an endpoint is left out of the reported capacity.
 	MaxFailureRate = 0.6
 )
 
--- a/capacity/outstanding.go
+++ b/capacity/outstanding.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// WithBegun returns the outstanding work after the first chunk of a request with that load.
+// WithBegun returns the outstanding work after the first chunk of a request that was counted with the given load.
 func (o Outstanding) WithBegun(load Outstanding) Outstanding {
 	o.Waiting, o.PromptTokens = o.Waiting.Minus(load.Waiting), o.PromptTokens.Minus(load.PromptTokens)
 	return o
--- a/capacity/overtaking.go
+++ b/capacity/overtaking.go
@@ -14,8 +14,8 @@
 	maxOvertakingShare = 0.9
 )
 
-// Demand is the recent demand of a gateway on a service's endpoints by rank, with exponential decay: the number of
-// slots held and the prefill time in endpoints. It is an immutable value.
+// Demand is the recent demand of a gateway on a service's endpoints by rank, with exponential decay: the mean number of
+// slots held, and the mean number of endpoints that its prefill keeps busy. It is an immutable value.
 type Demand struct {
 	slots, prefill [Ranks]float64
 	at             time.Time
--- a/capacity/recent.go
+++ b/capacity/recent.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recentTimeConstant is the time constant with which sent tokens decay; a caller perceives the pace of a stream over
-// about as long.
+// recentTimeConstant is the time constant with which sent tokens decay. It is about the time over which a caller
+// perceives the pace of a stream.
 const recentTimeConstant = time.Second
 
 // RecentTokens is a sum of recently sent tokens with exponential decay. It is an immutable value.
--- a/capacity/regions.go
+++ b/capacity/regions.go
@@ -34,17 +34,16 @@
 	Cost     time.Duration
 }
 
-// ChooseRegion returns the region that serves a request at the least cost, if that is less than the local cost here.
-// roundTrip is the round-trip time to another region. The tokens sent to a region since its report are added to its
-// load.
-func ChooseRegion(capacities []RegionCapacity, w Work, s Speed, roundTrip, here time.Duration) (best RegionChoice, ok bool) {
+// ChooseRegion returns the region that serves a request at the least cost, if that is less than localCost. roundTrip is
+// the round-trip time to another region. The tokens sent to a region since its report are added to its load.
+func ChooseRegion(capacities []RegionCapacity, w Work, s Speed, roundTrip, localCost time.Duration) (best RegionChoice, ok bool) {
 	for _, r := range capacities {
 		if !r.Fresh() || r.Endpoints == 0 || r.Sent+w.PromptTokens > r.PromptTokens {
 			continue
 		}
 		expected := r.Wait[w.Rank] + roundTrip + s.PrefillTokenTime*time.Duration(w.PromptTokens+r.Sent/int64(r.Endpoints))
 		cost := expected + DecodeCost(w, min(r.Busy+s.Busy(float64(r.Sent)/float64(r.Endpoints)), 1))
-		if cost < here && (!ok || cost < best.Cost) {
+		if cost < localCost && (!ok || cost < best.Cost) {
 			late := expected - r.Wait[w.Rank] + r.Wait[Ranks-1]
 			best, ok = RegionChoice{Region: r.Region, Expected: expected, Late: late, Cost: cost}, true
 		}
--- a/capacity/speed.go
+++ b/capacity/speed.go
@@ -16,10 +16,11 @@
 	// with some prefill in between.
 	initialOutputTokenTime = 8 * time.Millisecond
 	// maxNormalFactor is the factor up to which an endpoint counts as no slower than the others, as single observations
-	// vary that much.
+	// vary by up to this factor.
 	maxNormalFactor = 1.5
-	minFactor       = 0.5
-	maxFactor       = 8.0
+	// minFactor and maxFactor bound the ratio of observed to expected time of a single observation.
+	minFactor = 0.5
+	maxFactor = 8.0
 	// minPrefillTokensLearned is the number of uncached tokens below which an observation updates only the base time.
 	minPrefillTokensLearned = 4000
 )
@@ -46,13 +47,13 @@
 	}
 }
 
-// smooth returns the moving average from after the observation to.
-func smooth(from, to time.Duration) time.Duration {
-	return from + time.Duration(speedGain*float64(to-from))
+// smooth returns the moving average after one more observation.
+func smooth(average, observed time.Duration) time.Duration {
+	return average + time.Duration(speedGain*float64(observed-average))
 }
 
 // WithFirst returns the speed after a first chunk arrived; uncached counts the tokens of the request and of the backlog
-// before it.
+// before it, and took is the time to the first chunk.
 func (s Speed) WithFirst(uncached int64, took time.Duration) Speed {
 	if uncached < minPrefillTokensLearned {
 		expected := s.PrefillTokenTime * time.Duration(uncached)
@@ -84,8 +85,8 @@
 	if w.OutputTokens == 0 {
 		return s.withSlotTime(held)
 	}
-	made := max(held-s.PrefillTokenTime*time.Duration(uncached), 0) / time.Duration(w.OutputTokens)
-	s.OutputTokenTime = max(smooth(s.OutputTokenTime, made), time.Millisecond)
+	perToken := max(held-s.PrefillTokenTime*time.Duration(uncached), 0) / time.Duration(w.OutputTokens)
+	s.OutputTokenTime = max(smooth(s.OutputTokenTime, perToken), time.Millisecond)
 	return s
 }
 
@@ -105,7 +106,8 @@
 }
 
 // Held returns the time that a request held its slot. took is its total time, first its time to the first chunk, and
-// uncached its own uncached tokens; the part of first beyond their prefill was spent in the queue.
+// uncached the number of its uncached tokens. The part of first beyond Base and the prefill of these tokens was spent in
+// the queue.
 func (s Speed) Held(took, first time.Duration, uncached int64) time.Duration {
 	waited := first - s.Base - s.PrefillTokenTime*time.Duration(uncached)
 	return took - max(waited, 0)
--- a/capacity/window.go
+++ b/capacity/window.go
@@ -24,14 +24,14 @@
 // Add counts an event.
 func (w *Window) Add(now time.Time) { w.times = append(w.times, now) }
 
-// Share divides whole among n holders and returns the part of the holder with the given rank, which counts from 0 in an
-// order that all holders agree on. The parts add up to whole; if n is not positive, Share returns whole.
-func Share(whole, n, rank int) int {
+// Share divides whole among n holders and returns the part of the holder at the given position, which counts from 0 in
+// an order that all holders agree on. The parts add up to whole; if n is not positive, Share returns whole.
+func Share(whole, n, position int) int {
 	if n <= 0 {
 		return whole
 	}
 	share := whole / n
-	if rank < whole%n {
+	if position < whole%n {
 		share++
 	}
 	return share
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -18,7 +18,7 @@
 	return balance
 }
 
-// First counts a first attempt, which adds share retries to the budget.
+// First counts a first attempt, which adds share retries to the budget, up to budgetBurst.
 func (b *Budget[K]) First(k K, share float64) {
 	b.balances[k] = min(b.balance(k)+share, max(budgetBurst, b.balance(k)))
 }
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -41,7 +41,7 @@
 	Made int
 	// Unreached is the number of those that made no connection, including the last one.
 	Unreached int
-	// WithoutProgress is the number of failed attempts since the last new piece that reached an endpoint and yielded no
+	// WithoutProgress is the number of failed attempts, other than unreached ones, since the caller last received a new
 	// piece.
 	WithoutProgress int
 	// Repeatable reports whether the request may run more than once.
@@ -82,8 +82,9 @@
 	return 0, Retry
 }
 
-// Backoff returns a delay drawn uniformly from zero to a bound that doubles with each attempt (full jitter: Brooker,
-// "Exponential backoff and jitter", 2015).
+// Backoff returns a delay drawn uniformly from zero to a bound that doubles with each attempt, up to maxDelay (full
+// jitter: Brooker, "Exponential backoff and jitter", 2015); made is the number of failed attempts that count
+// towards the bound.
 func Backoff(made int, rng *rand.Rand) time.Duration {
 	bound := min(firstDelay<<max(made-1, 0), maxDelay)
 	return time.Duration(rng.Int64N(int64(bound) + 1))
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestBudget checks that retries are at most the share of first attempts and the reserve, and never end past the
-// deadline.
+// TestBudget checks that retries are at most the share of first attempts plus the reserve, and that none is delayed to
+// its deadline or past it.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget[string]()
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -25,8 +25,8 @@
 	slowStart       SlowStart
 	// pool is the endpoint's cache, with the reservations of this chooser's requests.
 	pool admission.Pool
-	// serviceTime is the moving average of the time from the start to the end of a request, in seconds; zero if none
-	// has ended.
+	// serviceTime is the moving average of the time from the start of a request to the end of its answer, in seconds;
+	// zero if none has been answered.
 	serviceTime float64
 	// ownRequests is the number of this chooser's requests outstanding at the endpoint.
 	ownRequests int
@@ -55,8 +55,9 @@
 
 func (c *Candidate) slots() float64 { return float64(max(c.endpoint.Slots, 1)) }
 
-// hasCapacity reports whether a request with the given uncached prompt tokens and reservation could start at once.
-// Requests of other instances are assumed to reserve as much on average as those of this one.
+// hasCapacity reports whether a request with the given uncached prompt tokens and reservation may be sent to the
+// endpoint now: it could start at once, or it may wait in the endpoint's queue by the rule of belowFairShare. Requests
+// of other instances are assumed to reserve as much on average as those of this one.
 func (c *Candidate) hasCapacity(now time.Duration, t *table, tokens, reserve int) bool {
 	outstanding := c.load.outstanding(now, c.ownRequests, t.meanOthers)
 	if outstanding > c.slots()-minFreeSlots && !c.belowFairShare(outstanding, t.instances) {
@@ -69,14 +70,15 @@
 	return c.pool.Fits(reserve + int(others))
 }
 
-// belowFairShare reports whether the instance has less than its share of a full endpoint. It may then wait in the
-// endpoint's own queue, because the instances that hold the slots take each slot again as soon as it is free.
+// belowFairShare reports whether the instance has less than its share of a full endpoint that has fewer than
+// maxRequestsPerSlot requests per slot. The instance may then queue a request at the endpoint, because the instances
+// that hold the slots take each slot again as soon as it is free.
 func (c *Candidate) belowFairShare(outstanding float64, instances int) bool {
 	return instances > 1 && float64(c.ownRequests) < c.slots()/float64(instances) &&
 		outstanding < c.slots()*maxRequestsPerSlot
 }
 
-// observe applies a newer announcement of the endpoint.
+// observe applies a newer announcement of the endpoint, whose load was measured at the time reported.
 func (c *Candidate) observe(now, reported time.Duration, e membership.Endpoint, x *index) {
 	c.endpoint = e
 	c.load.setReport(reported, float64(e.Load.Running+e.Load.Queued), float64(e.Load.QueuedTokens))
@@ -111,7 +113,7 @@
 	return holder{id: c.id, lastUsedMillis: uint32(now.Milliseconds()), lostEvents: c.lostEvents, confirmed: confirmed}
 }
 
-// observeServiceTime adds the service time of an ended request to the moving average.
+// observeServiceTime adds the service time of an answered request to the moving average.
 func (c *Candidate) observeServiceTime(seconds float64) {
 	if c.serviceTime == 0 {
 		c.serviceTime = seconds
--- a/routing/chooser.go
+++ b/routing/chooser.go
@@ -76,7 +76,7 @@
 		c.rebuildTables()
 	}
 	for k, t := range c.tables {
-		t.updateMean()
+		t.updateMeanOthers()
 		t.instances = c.instances
 		if k.model == "" {
 			t.extrapolateOthers()
@@ -219,8 +219,8 @@
 	t.order = append(t.order, int32(len(t.order)))
 }
 
-// updateMean recalculates the mean number of others' requests at a candidate.
-func (t *table) updateMean() {
+// updateMeanOthers recalculates the mean number of others' requests at a candidate.
+func (t *table) updateMeanOthers() {
 	var sum float64
 	for _, candidate := range t.candidates {
 		sum += candidate.load.others(candidate.ownRequests)
--- a/routing/constants.go
+++ b/routing/constants.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Constants that discount old reports.
+// Constants that discount old load reports and old knowledge of cached prefixes.
 const (
 	// reportHalfLife is the age at which a report has a weight of one half against the mean of the candidates.
 	reportHalfLife = 4 * time.Second
--- a/routing/index.go
+++ b/routing/index.go
@@ -7,7 +7,7 @@
 	id uint32
 	// lastUsedMillis is the last known use of the prefix, in milliseconds since the chooser's origin.
 	lastUsedMillis uint32
-	// lostEvents is the number of the endpoint's cache events that had been lost by then.
+	// lostEvents is the number of the endpoint's cache events that had been lost when this holder was recorded.
 	lostEvents uint32
 	// confirmed is true if the endpoint reported the prefix, and false if it is inferred from a request sent there.
 	confirmed bool
--- a/routing/link.go
+++ b/routing/link.go
@@ -4,6 +4,7 @@
 
 // Link limits the bytes that an instance sends over one link between regions; it is a token bucket.
 type Link struct {
+	// rate is in bytes per second, and level in bytes.
 	rate  float64
 	level float64
 	at    time.Duration
--- a/routing/load.go
+++ b/routing/load.go
@@ -13,11 +13,13 @@
 // are the other instances that send requests there.
 type load struct {
 	reportedAt time.Duration
-	requests   float64
-	tokens     float64
+	// requests and tokens are the requests at the endpoint and the prompt tokens that wait there, as reported.
+	requests float64
+	tokens   float64
 	// changes holds this instance's changes after reportedAt in time order, starting at index first.
-	changes             []loadChange
-	first               int
+	changes []loadChange
+	first   int
+	// requestsSinceReport and tokensSinceReport are the sums of changes.
 	requestsSinceReport int
 	tokensSinceReport   int
 	// othersChange is the expected change in the number of others' requests since the report.
@@ -70,7 +72,8 @@
 }
 
 // outstanding returns the expected number of requests at the endpoint: own, which are this instance's, and those of
-// others from the report. An old report is discounted towards mean, and the expected change since the report is added.
+// others from the report. An old report is discounted towards mean, the mean number of others' requests at a candidate,
+// and the expected change since the report is added.
 func (l *load) outstanding(now time.Duration, own int, mean float64) float64 {
 	return float64(own) + max(mean+(l.others(own)-mean)*l.weight(now)+l.othersChange, 0)
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -42,7 +42,7 @@
 	Informed() bool
 }
 
-// Expected scores candidates by the expected times, weighted by the operators' objective.
+// Expected scores candidates by their expected times and cost, weighted by the operators' objective.
 type Expected struct{}
 
 var _ Policy = Expected{}
@@ -54,7 +54,7 @@
 // Informed returns true.
 func (Expected) Informed() bool { return true }
 
-// Score returns the expected times, weighted by the objective.
+// Score returns the expected times and the cost, and their sum weighted by the objective.
 func (Expected) Score(now time.Duration, c *Candidate, mean, cached float64, q *Query) Terms {
 	slots := c.slots()
 	outstanding := c.load.outstanding(now, c.ownRequests, mean)
--- a/routing/query.go
+++ b/routing/query.go
@@ -6,8 +6,8 @@
 	"arbutusreel/inventory"
 )
 
-// Objective holds the weights of the terms of a score: Latency weighs one second, Cost the cost of the request in the
-// cheapest region, and Away one request forwarded to another region.
+// Objective holds the weights of the terms of a score: Latency is the weight of one second, Cost the weight of the cost
+// relative to the same request in the cheapest region, and Away the penalty for forwarding to another region.
 type Objective struct {
 	Cost    float64
 	Latency float64
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -41,10 +41,11 @@
 
 // remoteService is the known state of one service in another region.
 type remoteService struct {
-	summary         membership.Summary
-	load            load
-	slowStart       SlowStart
-	ownRequests     int
+	summary     membership.Summary
+	load        load
+	slowStart   SlowStart
+	ownRequests int
+	// lastObservation is the value of Regions.observations when a summary last listed the service.
 	lastObservation uint64
 }
 
@@ -61,7 +62,8 @@
 	services map[remoteServiceKey]*remoteService
 	links    map[string]*Link
 	// departed marks the services that were known and then disappeared at least once.
-	departed     map[remoteServiceKey]bool
+	departed map[remoteServiceKey]bool
+	// observations counts the calls of Observe with at least one summary.
 	observations uint64
 }
 
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,7 +3,8 @@
 // SlowStart limits the prompt tokens in flight to an endpoint or region with a cold cache. The window doubles each time
 // a whole window of tokens has completed.
 type SlowStart struct {
-	active    bool
+	active bool
+	// window, inFlight and completed are in prompt tokens; completed counts towards the next doubling.
 	window    int
 	inFlight  int
 	completed int
@@ -14,7 +15,7 @@
 	return SlowStart{active: true, window: coldPrefillTokens}
 }
 
-// newProbe returns a window that admits one request at a time until one has completed.
+// newProbe returns a slow start that admits one request at a time until one has completed.
 func newProbe() SlowStart {
 	return SlowStart{active: true, window: 1}
 }
@@ -22,7 +23,8 @@
 // Active reports whether slow start is in progress.
 func (s *SlowStart) Active() bool { return s.active }
 
-// Allows reports whether the given number of tokens may be sent in addition; one request is always admitted.
+// Allows reports whether a prompt of the given number of tokens may be sent in addition to those in flight; with none in
+// flight, a prompt of any size may.
 func (s *SlowStart) Allows(tokens int) bool {
 	return !s.active || s.inFlight == 0 || s.inFlight+tokens <= s.window
 }
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -12,7 +12,7 @@
 	startedAt      time.Duration
 	uncachedTokens int
 	prefilling     bool
-	// reservation is nil if the policy does not check the pool and the pool had no capacity.
+	// reservation is nil if the pool had no capacity for it, which happens only with policies that do not check the pool.
 	reservation *admission.Reservation
 }
 
--- a/stream/sequencer.go
+++ b/stream/sequencer.go
@@ -38,5 +38,5 @@
 	return e, nil
 }
 
-// Next returns the position of the next piece, which is the number of pieces accepted.
+// Next returns the position of the next piece, which is the number of the answer's pieces before it over all attempts.
 func (s *Sequencer) Next() int { return s.next }
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -23,7 +23,7 @@
 	Piece(p Piece) error
 }
 
-// GapError reports a piece that did not follow the one before it.
+// GapError reports a piece whose position is beyond the next one expected.
 type GapError struct {
 	RequestID string
 	Want      int
