--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -23,7 +23,7 @@
 	// full reports whether the request had to wait for a slot or for memory, so that its time says nothing about the
 	// speed.
 	full bool
-	// preemptedShare is the share of the endpoint's time that requests of higher priority took when it was sent.
+	// preemptedShare is the share of the endpoint's time that requests of higher priority took when this one was sent.
 	preemptedShare float64
 	sent           time.Time
 	// firstAt is the time of the first piece; zero before.
@@ -88,8 +88,8 @@
 	p.endpointBreakers.Answered(now, a.endpoint.ID, a.probe)
 }
 
-// recordAnswer records an answer to a request that was sent at a time. A connection failure before that no longer
-// counts, as the endpoint was warm enough to answer.
+// recordAnswer records an answer to a request that was sent at the given time. A connection failure before that time no
+// longer counts, as the endpoint was warm enough to answer.
 func (s *endpointState) recordAnswer(sent time.Time) {
 	if sent.After(s.connectFailedAt) {
 		s.connectFailedAt = time.Time{}
@@ -206,8 +206,9 @@
 	return a
 }
 
-// outstandingChanges returns the loads that changed since the last call, or all that are not zero. A full report does
-// not clear the changes, which are reported again: a report that waited while a stream was opened is soon superseded.
+// outstandingChanges returns the loads that changed since the last call, or if all is set, those that are not zero. The
+// latter does not clear the changes: on a reopened stream, older reports that waited in its queue follow the full
+// report, and the next changes correct what they overwrite.
 func (p *placer) outstandingChanges(now time.Time, all bool) []*wiregen.EndpointOutstanding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,7 +235,7 @@
 // minReportedFailures is the count of recent failures up to which they are not reported.
 const minReportedFailures = 0.1
 
-// updatePeer stores the load reported by another gateway; whole replaces all that it reported before.
+// updatePeer stores the load reported by another gateway; a whole report replaces all earlier ones.
 func (p *placer) updatePeer(now time.Time, m *wiregen.OutstandingReport, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -41,7 +41,7 @@
 				endpoints = append(endpoints, fleet.Endpoint{ID: fmt.Sprintf("engine-%d", i), Born: 7, Service: "model", Slots: 32, State: fleet.Ready})
 			}
 			placers, v, r, s := newPlacers(b, 2, endpoints...)
-			q := ask(r, s)
+			q := testQuery(r, s)
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
 				placers[0].decide(now, v, q)
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -55,7 +55,7 @@
 	LastEvent int64
 }
 
-// NoEvent is the value of LastEvent without any event.
+// NoEvent is the event ID that stands for no event.
 const NoEvent = -1
 
 // EndpointHeaders holds the headers that the gateway sets for an endpoint in addition to those of the caller.
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -55,8 +55,8 @@
 	return step
 }
 
-// recordForwardFailure records a failure that the gateway of another region answered with itself. Its region is not
-// tried again.
+// recordForwardFailure records a failure that the gateway of another region reported itself, without the answer of an
+// endpoint. Its region is not tried again.
 func (j *job) recordForwardFailure(d decision, answer *exchange.Response, o problem.Outcome) nextStep {
 	j.tried[d.region] = true
 	if o != problem.NotRun {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,33 +20,34 @@
 )
 
 const (
-	// readHeaderTimeout bounds the reading of a request's header. The limit in the routing table is not applied.
+	// readHeaderTimeout bounds the reading of a request's header. The HeaderTimeout of the routing table is not applied.
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout is how long idle connections are kept. It exceeds the limits in routing tables, within which callers
-	// reuse connections.
+	// idleTimeout is how long an idle connection from a caller or another gateway is kept open. It exceeds the idle
+	// timeouts in routing tables, within which callers reuse connections.
 	idleTimeout = 30 * time.Second
-	// repeatableIdleTimeout and onceIdleTimeout bound the idle time after which a connection to an endpoint is still
-	// reused, for requests that may be repeated and for those that may not.
-	repeatableIdleTimeout = 4 * time.Second
-	onceIdleTimeout       = 1500 * time.Millisecond
-	trimPeriod            = time.Second
+	// repeatableIdleTimeout and nonRepeatableIdleTimeout bound the idle time after which a connection to an endpoint is
+	// still reused, for requests that may be repeated and for those that may not.
+	repeatableIdleTimeout    = 4 * time.Second
+	nonRepeatableIdleTimeout = 1500 * time.Millisecond
+	// expiredConnPeriod is the interval at which connections that are too old to be reused are closed.
+	expiredConnPeriod = time.Second
 	// endpointConnectTimeout and peerConnectTimeout bound a connection attempt to an endpoint of the region and to a
 	// gateway of another region: a hundred round trips and three round trips, respectively. A lost SYN is retransmitted
 	// only after a second, and a request that has not been sent can still be placed elsewhere.
 	endpointConnectTimeout = 250 * time.Millisecond
 	peerConnectTimeout     = 500 * time.Millisecond
-	// lingerTime is the least time for which a stopping gateway still accepts callers: three times the lifetime of a
+	// minDrainTime is the least time for which a stopping gateway still accepts requests: three times the lifetime of a
 	// directory answer, plus the time until the directory learns that the gateway is stopping.
-	lingerTime = 3500 * time.Millisecond
-	// advertisedTime is how long a stopping gateway may still be returned to callers if its region has no other
-	// gateway. The streams that these callers ask for are accepted within streamAcceptTime.
+	minDrainTime = 3500 * time.Millisecond
+	// advertisedTime is how long the directory may still return a stopping gateway to callers if its region has no
+	// other gateway. The streams that these callers ask for are accepted within streamAcceptTime.
 	advertisedTime = 1800 * time.Millisecond
 	// streamAcceptTime is how long a stopping gateway still accepts new streams, which may outlast the grace period.
 	streamAcceptTime = 2800 * time.Millisecond
 	// stopMargin is the end of the grace period that is kept for closing connections.
 	stopMargin = 300 * time.Millisecond
-	// minIdleTime is the time without a new request after which a stopping gateway that has answered all of them ends,
-	// once lingerTime is over.
+	// minIdleTime is the time without a new request after which a stopping gateway that has answered all of its requests
+	// ends, once minDrainTime is over.
 	minIdleTime = 500 * time.Millisecond
 	// stoppingRetryAfter is the retry delay given to a caller that a stopping gateway refuses; any other gateway can
 	// serve it.
@@ -57,9 +58,10 @@
 type Gateway struct {
 	wiregen.UnimplementedOutstandingServer
 
-	cfg       Config
-	log       zerolog.Logger
-	started   time.Time
+	cfg     Config
+	log     zerolog.Logger
+	started time.Time
+	// born is the start time in Unix milliseconds, which identifies the incarnation of the gateway.
 	born      int64
 	pool      *exchange.Pool
 	peers     *exchange.Pool
@@ -79,9 +81,11 @@
 	controlsMu sync.Mutex
 	controls   []string
 
-	stopping      atomic.Int64
-	inFlight      atomic.Int64
-	lastRequestAt atomic.Int64
+	// stopBeganNanos is the Unix time at which the stop began, zero before, and lastRequestNanos that of the arrival of
+	// the last request.
+	stopBeganNanos   atomic.Int64
+	inFlight         atomic.Int64
+	lastRequestNanos atomic.Int64
 }
 
 // New returns a gateway that starts serving when Run is called.
@@ -90,7 +94,7 @@
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	g := &Gateway{
 		cfg: cfg, log: log, started: now, born: now.UnixMilli(), placer: newPlacer(cfg, source), state: newFleetState(cfg),
-		pool:    exchange.NewPool(exchange.IdleLimits{Repeatable: repeatableIdleTimeout, NonRepeatable: onceIdleTimeout}, endpointConnectTimeout, time.Now),
+		pool:    exchange.NewPool(exchange.IdleLimits{Repeatable: repeatableIdleTimeout, NonRepeatable: nonRepeatableIdleTimeout}, endpointConnectTimeout, time.Now),
 		peers:   exchange.NewPool(exchange.IdleLimits{Repeatable: idleTimeout / 2, NonRepeatable: idleTimeout / 2}, peerConnectTimeout, time.Now),
 		workCtx: workCtx, cancelWork: cancelWork, done: make(chan struct{}),
 	}
@@ -103,9 +107,9 @@
 func (g *Gateway) Done() <-chan struct{} { return g.done }
 
 // Ready reports whether the gateway accepts callers: it has a routing table and is not stopping.
-func (g *Gateway) Ready() bool { return g.stopping.Load() == 0 && g.view.Load().table != nil }
+func (g *Gateway) Ready() bool { return g.stopBeganNanos.Load() == 0 && g.view.Load().table != nil }
 
-// lingering reports whether a stopping gateway may still be returned to callers.
+// lingering reports whether the gateway is stopping and the directory may still return it to callers.
 func (g *Gateway) lingering(now time.Time) bool {
 	elapsed := g.stoppingFor(now)
 	return elapsed > 0 && elapsed < advertisedTime && g.view.Load().table != nil
@@ -140,7 +144,7 @@
 	g.wg.Go(func() { _ = loadServer.Serve(loads) })
 	g.wg.Go(func() { g.subscribe(g.workCtx) })
 	g.wg.Go(func() { g.reportLoads(g.workCtx) })
-	g.wg.Go(func() { g.trim(g.workCtx) })
+	g.wg.Go(func() { g.closeExpiredConns(g.workCtx) })
 	g.log.Info().Str("callerAddress", g.cfg.CallerAddress).Str("domain", g.cfg.FailureDomain).Strs("controls", g.cfg.Controls).Msg("started")
 	<-ctx.Done()
 	g.stop()
@@ -177,8 +181,9 @@
 	}
 }
 
-func (g *Gateway) trim(ctx context.Context) {
-	for clock.Sleep(ctx, trimPeriod) {
+// closeExpiredConns closes idle connections that are too old to be reused, until ctx ends.
+func (g *Gateway) closeExpiredConns(ctx context.Context) {
+	for clock.Sleep(ctx, expiredConnPeriod) {
 		g.pool.CloseExpired()
 		g.peers.CloseExpired()
 	}
@@ -187,11 +192,11 @@
 // stop marks the gateway as stopping, and returns when its requests have been answered or the grace period is over.
 func (g *Gateway) stop() {
 	began := time.Now()
-	g.stopping.Store(began.UnixNano())
+	g.stopBeganNanos.Store(began.UnixNano())
 	g.log.Info().Int64("inFlight", g.inFlight.Load()).Dur("grace", g.cfg.Grace).Msg("stopping")
 	for time.Since(began) < g.cfg.Grace-stopMargin {
-		idle := time.Since(time.Unix(0, g.lastRequestAt.Load()))
-		if time.Since(began) > lingerTime && g.inFlight.Load() == 0 && idle > minIdleTime {
+		idle := time.Since(time.Unix(0, g.lastRequestNanos.Load()))
+		if time.Since(began) > minDrainTime && g.inFlight.Load() == 0 && idle > minIdleTime {
 			return
 		}
 		clock.Sleep(g.workCtx, pollPeriod)
@@ -200,7 +205,7 @@
 
 // stoppingFor returns the time since the stop began, or zero if the gateway is not stopping.
 func (g *Gateway) stoppingFor(now time.Time) time.Duration {
-	began := g.stopping.Load()
+	began := g.stopBeganNanos.Load()
 	if began == 0 {
 		return 0
 	}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -11,7 +11,8 @@
 
 // latencies are the latency histograms of a gateway, by kind of route.
 type latencies struct {
-	// first is the time until an answer began, and whole until it ended.
+	// first is the time from the arrival of a request until its answer began, and whole until a stream ended or another
+	// answer was ready to be written to the caller.
 	first map[routes.Kind]*metrics.Histogram
 	whole map[routes.Kind]*metrics.Histogram
 }
@@ -28,7 +29,7 @@
 	return t
 }
 
-// record adds an answer that was sent in full.
+// record adds an answer that began at first and ends now, to a request that arrived at received.
 func (t *latencies) record(kind routes.Kind, received, first time.Time) {
 	t.first[kind].Observe(first.Sub(received))
 	t.whole[kind].Observe(time.Since(received))
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -36,7 +36,8 @@
 	return all, v, table.Match(testHost, "/"), table.Service("model")
 }
 
-func ask(r *routes.Route, s *routes.Service) query {
+// testQuery returns a query for a request of 1000 prompt tokens and 100 output tokens.
+func testQuery(r *routes.Route, s *routes.Service) query {
 	return query{
 		route: r, service: s, work: capacity.Work{PromptTokens: 1000, OutputTokens: 100}, tried: map[string]bool{},
 		budget: capacity.TimeBudget{Objective: r.Objective, RouteObjective: r.Objective, Remaining: r.Timeout},
@@ -54,7 +55,7 @@
 		for step := range 300 {
 			at := now.Add(time.Duration(step) * 20 * time.Millisecond)
 			for _, p := range placers {
-				if place := p.decide(at, v, ask(r, s)); place.endpoint.ID == "cold" {
+				if place := p.decide(at, v, testQuery(r, s)); place.endpoint.ID == "cold" {
 					p.begin(at, "model", capacity.Work{}, place).end(at, succeeded)
 					sent = append(sent, at)
 				}
@@ -108,7 +109,7 @@
 			if at < time.Duration(i)*startInterval {
 				continue
 			}
-			if place := p.decide(now, viewOf(i, at), ask(r, s)); place.endpoint.ID == "cold" {
+			if place := p.decide(now, viewOf(i, at), testQuery(r, s)); place.endpoint.ID == "cold" {
 				p.begin(now, "model", capacity.Work{}, place).end(now, succeeded)
 				sent = append(sent, at)
 			}
@@ -139,16 +140,16 @@
 		t.Run(name, func(t *testing.T) {
 			placers, v, r, s := newPlacers(t, 3, e)
 			p := placers[0]
-			p.begin(now, "model", capacity.Work{}, p.decide(now, v, ask(r, s))).end(now, unreached)
+			p.begin(now, "model", capacity.Work{}, p.decide(now, v, testQuery(r, s))).end(now, unreached)
 			at := now.Add(10 * time.Second)
 			if answers {
 				at = now.Add(2 * time.Second)
-				f := p.begin(at, "model", capacity.Work{}, p.decide(at, v, ask(r, s)))
+				f := p.begin(at, "model", capacity.Work{}, p.decide(at, v, testQuery(r, s)))
 				f.recordFirst(at)
 				f.end(at, succeeded)
 			}
 			for i := range 50 {
-				place := p.decide(at, v, ask(r, s))
+				place := p.decide(at, v, testQuery(r, s))
 				if place.verdict != capacity.Take {
 					t.Fatalf("request %d: %v, %s", i, place.verdict, place.reason)
 				}
@@ -173,11 +174,11 @@
 	const requests = 200
 	for i := range requests {
 		p, other := placers[i%2], placers[(i+1)%2]
-		place := p.decide(now, v, ask(r, s))
+		place := p.decide(now, v, testQuery(r, s))
 		if place.verdict == capacity.Refuse {
 			t.Fatalf("request %d was refused: %s", i, place.reason)
 		}
-		p.begin(now, "model", ask(r, s).work, place).recordFirst(now.Add(50 * time.Millisecond))
+		p.begin(now, "model", testQuery(r, s).work, place).recordFirst(now.Add(50 * time.Millisecond))
 		counts[place.endpoint.ID]++
 		other.updatePeer(now, reportOf(p, now), false)
 		now = now.Add(5 * time.Millisecond)
@@ -193,9 +194,8 @@
 	return &wiregen.OutstandingReport{Gateway: p.cfg.Name, Born: 1, Outstanding: p.outstandingChanges(now, true)}
 }
 
-// TestPartitionedRegion makes all gateways of a region unreachable: after a few failures neither the other gateways
-// nor, while its capacity is stale, the region are tried. Once its capacity is reported again, it gets requests at
-// once.
+// TestPartitionedRegion makes all gateways of a region unreachable: after a few failures the other gateways of the
+// region are not tried. As soon as its capacity is reported again after having been stale, the region gets requests.
 func TestPartitionedRegion(t *testing.T) {
 	const gateways = 20
 	now := time.Unix(1000, 0)
@@ -207,7 +207,7 @@
 	there := capacity.RegionCapacity{Region: "there", Endpoints: 9, PromptTokens: 1 << 40}
 	v.capacities = map[string]regionCapacity{"there": {reportedAt: now, services: map[string]capacity.RegionCapacity{"model": there}}}
 	crosses := func() bool {
-		at := p.decide(now, v, ask(r, s))
+		at := p.decide(now, v, testQuery(r, s))
 		if at.region == "" {
 			return false
 		}
@@ -254,7 +254,7 @@
 			if len(c.endpoints) > 0 {
 				placers[0].state(&c.endpoints[0]).outstanding.PromptTokens[0] = 50_000
 			}
-			if got := placers[0].decide(now, v, ask(r, s)); (got.region != "") != c.crosses {
+			if got := placers[0].decide(now, v, testQuery(r, s)); (got.region != "") != c.crosses {
 				t.Errorf("region %q, verdict %v", got.region, got.verdict)
 			}
 		})
@@ -280,7 +280,7 @@
 			const requests = 600
 			for i := range requests {
 				p := placers[i%len(placers)]
-				q := ask(r, s)
+				q := testQuery(r, s)
 				q.work = capacity.Work{}
 				at := p.decide(now, v, q)
 				f := p.begin(now, "model", q.work, at)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -22,7 +22,8 @@
 	noEndpointTime = time.Hour
 )
 
-// crossRegion returns a gateway of another region if the request is expected to be served at a lower cost there.
+// crossRegion returns the decision to forward a request to another region, or false if it stays in this one. It counts
+// the tokens of a forwarded request against the reported capacity of the other region.
 func (p *placer) crossRegion(now time.Time, v *view, q query, speed capacity.Speed, here decision) (decision, bool) {
 	available := p.availableGateways(now, v, q)
 	there, ok := capacity.ChooseRegion(p.capacitiesOf(now, v, q, available), q.work, speed, p.cfg.RegionRoundTrip, here.cost)
@@ -43,7 +44,8 @@
 	}, true
 }
 
-// shouldCrossRegion reports whether a request is forwarded to another region, given the cost and the verdict there.
+// shouldCrossRegion reports whether a request is forwarded to another region, given the decision in this region and the
+// cost and the verdict in the other one.
 func shouldCrossRegion(here decision, cost time.Duration, verdict capacity.Verdict) bool {
 	switch here.verdict {
 	case capacity.Take:
@@ -82,8 +84,9 @@
 	return capacities
 }
 
-// staleRegion returns a random region whose capacity is unknown or stale. It returns false if all regions have reported
-// recently, since none of them has free capacity then.
+// staleRegion returns a random region whose capacity is unknown or stale, for a request that this region has no endpoint
+// for and that no other region is known to have free capacity for. It returns false if the reports of all regions are
+// fresh, since none of them has free capacity then.
 func (p *placer) staleRegion(now time.Time, v *view, q query, regions map[string][]fleet.Gateway) (string, bool) {
 	var stale []string
 	for region := range regions {
@@ -137,8 +140,8 @@
 // of the deployments' routes. Whether a forwarded request is on time is decided from the reported waiting times.
 const capacityObjective = time.Second
 
-// serviceCapacity returns the free capacity of one service's endpoints. Endpoints that are cold, gone, failing or
-// behind an open breaker are left out.
+// serviceCapacity returns the free capacity of one service's endpoints. Endpoints that are cold, gone or failing, or
+// whose circuit breaker is not closed, are left out.
 func (p *placer) serviceCapacity(now time.Time, v *view, service *routes.Service, endpoints []fleet.Endpoint) *wiregen.ServiceRoom {
 	p.expirePeers(now)
 	speed := p.currentSpeed(now, v, service.Name)
@@ -187,7 +190,7 @@
 	defer p.mu.Unlock()
 	for _, m := range reports {
 		before := capacity.RegionCapacity{Age: now.Sub(v.capacities[m.GetRegion()].reportedAt)}
-		if now := (capacity.RegionCapacity{Age: time.Duration(m.GetAgeMillis()) * time.Millisecond}); !before.Fresh() && now.Fresh() {
+		if after := (capacity.RegionCapacity{Age: time.Duration(m.GetAgeMillis()) * time.Millisecond}); !before.Fresh() && after.Fresh() {
 			regained = append(regained, m.GetRegion())
 			p.regionBreakers.Forget(m.GetRegion())
 			for _, g := range v.gateways {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -17,13 +17,13 @@
 // callerStream is the response stream to the caller, which may be fed by several runs one after the other.
 type callerStream struct {
 	w http.ResponseWriter
-	// started reports whether the header and a first event have been sent.
+	// started reports whether the header has been sent.
 	started bool
 	// lastEvent is the ID of the last event sent.
 	lastEvent int64
-	// lastAt is the time when it was sent, and pause the longest time between two events.
-	lastAt time.Time
-	pause  time.Duration
+	// lastAt is when the last event was sent, and longestPause the longest time between two events.
+	lastAt       time.Time
+	longestPause time.Duration
 }
 
 // streaming reports whether part of a stream has been sent to the caller, after which no other answer is possible.
@@ -98,7 +98,7 @@
 	}
 	now := time.Now()
 	if !s.lastAt.IsZero() {
-		s.pause = max(s.pause, now.Sub(s.lastAt))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastAt))
 	}
 	s.lastAt = now
 	if err := http.NewResponseController(s.w).Flush(); err != nil {
@@ -119,7 +119,7 @@
 	}
 	j.g.latencies.record(j.route.Kind, j.received, j.firstAt)
 	j.g.cfg.Metrics.Count("answered")
-	j.log("answered").Int("status", status).Int64("lastEvent", j.stream.lastEvent).Dur("longestPause", j.stream.pause).Msg("served")
+	j.log("answered").Int("status", status).Int64("lastEvent", j.stream.lastEvent).Dur("longestPause", j.stream.longestPause).Msg("served")
 	return succeeded, answered
 }
 
@@ -168,7 +168,7 @@
 		if err != nil {
 			return event{}, err
 		}
-		if blank := bytes.TrimRight(line, "\r\n"); len(blank) == 0 && endsLine(e.raw, len(line)) {
+		if blank := bytes.TrimRight(line, "\r\n"); len(blank) == 0 && endsWithEmptyLine(e.raw, len(line)) {
 			return e, nil
 		}
 		if id, ok := eventID(e.raw); ok {
@@ -177,8 +177,8 @@
 	}
 }
 
-// endsLine reports whether the last n bytes of text, a line end, form an empty line.
-func endsLine(text []byte, n int) bool {
+// endsWithEmptyLine reports whether the last n bytes of text, which are a line break, form an empty line.
+func endsWithEmptyLine(text []byte, n int) bool {
 	before := text[:len(text)-n]
 	return len(before) == 0 || before[len(before)-1] == '\n'
 }
--- a/gateway/replay_test.go
+++ b/gateway/replay_test.go
@@ -27,8 +27,8 @@
 	replayOverload = 1.4
 	replayRate     = 130 * replayOverload
 	replayTime     = 12 * time.Second
-	// replayReports is the interval of the load reports between gateways.
-	replayReports = 100 * time.Millisecond
+	// replayReportPeriod is the interval of the load reports between gateways.
+	replayReportPeriod = 100 * time.Millisecond
 )
 
 // replayKind is a kind of request.
@@ -52,7 +52,8 @@
 
 // replayRequest is one request at an engine.
 type replayRequest struct {
-	kind         *replayKind
+	kind *replayKind
+	// left is the number of prompt tokens that are not read yet, and made the number of output tokens generated.
 	prompt, left int
 	output, made int
 	urgency      int
@@ -73,7 +74,7 @@
 // has been read.
 type replayEngine struct {
 	running, waiting []*replayRequest
-	next             time.Duration
+	nextStepAt       time.Duration
 }
 
 func (e *replayEngine) admit() {
@@ -98,11 +99,11 @@
 func (e *replayEngine) step() (first, ended []*replayRequest, took time.Duration) {
 	const chunk, tokensPerMilli, stepMillis, slotMillis = 1024, 112, 3.23, 0.0483
 	e.admit()
-	room := chunk
+	free := chunk
 	for _, r := range e.running {
 		if r.left > 0 {
-			read := min(r.left, room)
-			r.left, room = r.left-read, room-read
+			read := min(r.left, free)
+			r.left, free = r.left-read, free-read
 			continue
 		}
 		r.made++
@@ -113,7 +114,7 @@
 			ended = append(ended, r)
 		}
 	}
-	millis := stepMillis + slotMillis*float64(len(e.running)) + float64(chunk-room)/tokensPerMilli
+	millis := stepMillis + slotMillis*float64(len(e.running)) + float64(chunk-free)/tokensPerMilli
 	return first, ended, time.Duration(millis * float64(time.Millisecond))
 }
 
@@ -122,7 +123,7 @@
 	e.running, e.waiting = slices.DeleteFunc(e.running, is), slices.DeleteFunc(e.waiting, is)
 }
 
-// replayResult counts the requests of a kind by how they ended.
+// replayResult counts the requests of a kind by how they ended; left counts those whose callers disconnected.
 type replayResult struct {
 	asked, onTime, late, refused, left int
 }
@@ -187,12 +188,12 @@
 			p.arrive(now)
 		}
 		for _, id := range p.view.endpoints["model"] {
-			if e := p.engines[id.ID]; e.next <= now && len(e.running)+len(e.waiting) > 0 {
+			if e := p.engines[id.ID]; e.nextStepAt <= now && len(e.running)+len(e.waiting) > 0 {
 				p.step(e, now)
 			}
 		}
 		p.abandon(now)
-		if now-reported >= replayReports {
+		if now-reported >= replayReportPeriod {
 			reported = now
 			p.report(at)
 		}
@@ -228,16 +229,16 @@
 
 func (p *replay) step(e *replayEngine, now time.Duration) {
 	first, ended, took := e.step()
-	e.next = now + took
+	e.nextStepAt = now + took
 	for _, r := range first {
-		if r.firstAt = e.next; r.attempt != nil {
-			r.attempt.recordFirst(replayStart.Add(e.next))
+		if r.firstAt = e.nextStepAt; r.attempt != nil {
+			r.attempt.recordFirst(replayStart.Add(e.nextStepAt))
 		}
 	}
 	for _, r := range ended {
-		p.end(r, e.next, succeeded)
+		p.end(r, e.nextStepAt, succeeded)
 		result := p.results[r.kind.name]
-		if r.firstAt-r.arrived <= r.kind.objective && e.next-r.arrived <= r.kind.patience {
+		if r.firstAt-r.arrived <= r.kind.objective && e.nextStepAt-r.arrived <= r.kind.patience {
 			result.onTime++
 		} else {
 			result.late++
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -24,7 +24,7 @@
 type nextStep int
 
 const (
-	// answered: the caller has its answer.
+	// answered: the caller has its answer or has disconnected.
 	answered nextStep = iota
 	// tryNext: another endpoint or region is tried if there is one.
 	tryNext
@@ -32,7 +32,7 @@
 	truncated
 )
 
-// run attempts the request until it is answered.
+// run attempts the request until it is answered or refused.
 func (j *job) run() {
 	j.g.placer.recordFirstTry(j.received, j.view, j.service.Name)
 	for {
@@ -68,8 +68,8 @@
 	}
 }
 
-// shouldContinue reports whether another attempt follows. A truncated answer must not look complete, so that its
-// connection is aborted.
+// shouldContinue reports whether another attempt follows. It panics with http.ErrAbortHandler after a truncated answer,
+// so that the connection is aborted and the answer does not look complete.
 func (j *job) shouldContinue(step nextStep) bool {
 	if step == truncated {
 		panic(http.ErrAbortHandler)
@@ -163,7 +163,8 @@
 	j.refuse(p)
 }
 
-// log starts a log line about this request with its outcome, the decision and its terms, and the age of the view.
+// log starts a log line about this request with its outcome, the last decision and the estimates behind it, and the age
+// of the view.
 func (j *job) log(outcome string) *zerolog.Event {
 	e := j.g.log.Info().Str("request", j.call.ID).Str("outcome", outcome).Int("attempts", j.attempts).Int("runs", j.runs).
 		Dur("took", time.Since(j.received)).
@@ -182,7 +183,7 @@
 	return e
 }
 
-// log adds the decision and its terms to a log line.
+// log adds the decision and the estimates behind it to a log line.
 func (d decision) log(e *zerolog.Event) *zerolog.Event {
 	e = e.Dur("expected", d.expected).Str("verdict", d.verdict.String()).Int("candidates", d.candidates).
 		Int64("unread", d.uncachedTokens).Bool("favourite", d.affinity).Bool("full", d.full).Str("fetchFrom", d.fetchFrom).
@@ -210,9 +211,9 @@
 // services without engines.
 func (j *job) urgency(v capacity.Verdict) int {
 	const (
-		mostUrgent  = 1
-		leastOnTime = 6
-		late        = 8
+		mostUrgent        = 1
+		leastUrgentOnTime = 6
+		late              = 8
 	)
 	switch {
 	case j.service.Engine == nil:
@@ -222,7 +223,7 @@
 	case v == capacity.TakeLate:
 		return late
 	default:
-		return min(mostUrgent+j.route.Priority, leastOnTime)
+		return min(mostUrgent+j.route.Priority, leastUrgentOnTime)
 	}
 }
 
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -25,8 +25,8 @@
 	// in time.
 	forwardMargin = 90 * time.Millisecond
 	// minFirstTimeout and firstTimeoutFactor determine the timeout for the first piece of an answer, after which
-	// another endpoint is tried: that multiple of the expected time, and no less than the minimum or one and a half
-	// times the route's objective.
+	// another endpoint is tried: firstTimeoutFactor times the expected time, but at least minFirstTimeout and at least
+	// one and a half times the route's objective.
 	minFirstTimeout    = 900 * time.Millisecond
 	firstTimeoutFactor = 3
 )
@@ -87,7 +87,8 @@
 
 // startFirstTimer starts a timer that cancels the attempt of a repeatable request if its first piece does not arrive in
 // time and another endpoint is expected to deliver it on time from then on. Until there is one, the attempt continues
-// and the timer is rearmed. The next gateway applies its own timeout to a forwarded request.
+// and the timer is rearmed. No timer is started for an attempt that may use up the allowed runs, as each forwarded
+// request may; the gateway that receives a forwarded request applies its own timeout.
 func (j *job) startFirstTimer(d decision, cancel context.CancelCauseFunc) *firstTimer {
 	limit := max(minFirstTimeout, firstTimeoutFactor*d.expected, 3*j.route.Objective/2)
 	timer := &firstTimer{}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -45,9 +45,10 @@
 	call      Call
 	path      string
 	body      []byte
-	draw      float64
-	received  time.Time
-	// age is the time that the request spent at another gateway before.
+	// draw is the random number in [0, 1) that selects one of the route's services.
+	draw     float64
+	received time.Time
+	// age is the time that a forwarded request spent at the other gateway and on the way from there.
 	age time.Duration
 	// refusedBefore reports whether the caller has come back after a refusal.
 	refusedBefore bool
@@ -70,8 +71,9 @@
 	// bufferedError is an endpoint's error answer, which the caller gets if no other endpoint does better.
 	bufferedError *bufferedAnswer
 	decision      decision
-	firstAt       time.Time
-	lastErr       error
+	// firstAt is when the answer to the caller began; zero before.
+	firstAt time.Time
+	lastErr error
 }
 
 // serve handles one request of a caller, or of another gateway if forwarded is set.
@@ -80,9 +82,9 @@
 	g.inFlight.Add(1)
 	g.cfg.Metrics.Begin()
 	defer g.cfg.Metrics.End()
-	g.lastRequestAt.Store(now.UnixNano())
+	g.lastRequestNanos.Store(now.UnixNano())
 	defer g.inFlight.Add(-1)
-	if g.stopping.Load() != 0 {
+	if g.stopBeganNanos.Load() != 0 {
 		w.Header().Set("Connection", "close")
 	}
 	v := g.view.Load()
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// timeBudget returns the caller's objective and the time that is left.
+// timeBudget returns what remains of the route's objective and of the time until the deadline.
 func (j *job) timeBudget(now time.Time) capacity.TimeBudget {
 	return capacity.TimeBudget{
 		Objective: j.route.Objective - j.age - now.Sub(j.received), Remaining: j.deadline.Sub(now), RouteObjective: j.route.Objective,
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -27,9 +27,10 @@
 	raceAttempts = 3
 	raceStagger  = 250 * time.Millisecond
 	// currentPreferenceTime is how long a gateway without a session waits for a current control daemon once a stale one
-	// has answered.
+	// has answered. A control daemon is current while it is in contact with the leader, and stale otherwise.
 	currentPreferenceTime = 150 * time.Millisecond
-	// searchPeriod is the interval at which a gateway looks for a current control daemon while its own is stale.
+	// searchPeriod is the interval at which a gateway searches for a current control daemon while the one of its session
+	// is stale.
 	searchPeriod = 1200 * time.Millisecond
 	// staleControlTime is how long a control daemon may be without a leader before another one is searched for.
 	staleControlTime = 600 * time.Millisecond
@@ -174,8 +175,8 @@
 // runSession receives updates and sends reports until the session fails or times out. While its control daemon is
 // stale, it searches for a current one, which it returns.
 func (g *Gateway) runSession(ctx context.Context, c *controlConn) (better *controlConn, err error) {
-	// Gateways that have gone since the former session would never be reported gone in this one, so that the table
-	// starts empty.
+	// The table of gateways starts empty, as those that have gone since the previous session would never be reported as
+	// gone in this one.
 	clear(g.state.gateways)
 	g.applyUpdate(c.address, c.firstUpdate)
 	now := time.Now()
@@ -242,7 +243,8 @@
 	}
 }
 
-// release drains the channels that goroutines of the session may still send to. Closing the connection ends its stream.
+// release drains the channels that goroutines of the session may still send to. The receiving goroutine ends when the
+// caller of runSession closes the connection.
 func (s *session) release() {
 	go func() {
 		for range s.updates {
@@ -301,7 +303,8 @@
 	return m
 }
 
-// reportsCapacity reports whether this gateway reports its region's capacity: the ready one with the lowest name does.
+// reportsCapacity reports whether this gateway reports its region's capacity: of the region's ready gateways, the first
+// in the order of names does.
 func (g *Gateway) reportsCapacity() bool {
 	if !g.Ready() {
 		return false
--- a/gateway/session_test.go
+++ b/gateway/session_test.go
@@ -19,7 +19,7 @@
 	address string
 	delay   time.Duration
 	current bool
-	// silent is the number of first sessions that get no update.
+	// silent is the number of initial sessions that get no update.
 	silent atomic.Int32
 }
 
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -20,8 +20,8 @@
 	endpoints  map[string][]fleet.Endpoint
 	gateways   []fleet.Gateway
 	capacities map[string]regionCapacity
-	// updatedAt is the time of the control daemon's last update, and current whether that daemon was in contact with
-	// the leader.
+	// updatedAt is the time of the control daemon's last update, current whether that daemon was in contact with the
+	// leader, and control its address.
 	updatedAt time.Time
 	current   bool
 	control   string
@@ -46,8 +46,8 @@
 	return slices.DeleteFunc(slices.Clone(v.gateways), func(g fleet.Gateway) bool { return g.Region != region || g.Name == except })
 }
 
-// rank returns the rank of a name among the gateways of a region that send to its endpoints, and their number including
-// it.
+// rank returns the position of a gateway among those of a region in the order of names, counted from 0, and their
+// number. The gateway counts even if the view does not list it.
 func (v *view) rank(region, name string) (rank, n int) {
 	for _, g := range v.gateways {
 		if g.Region != region || g.Name == name {
@@ -107,8 +107,8 @@
 	return true, nil
 }
 
-// updateEvacuations replaces the evacuated failure domains. The endpoints of a restored domain count as cold for a
-// while, as they may have been restarted meanwhile.
+// updateEvacuations replaces the evacuated failure domains. The endpoints of a restored domain count as cold for the
+// cold time of their service, as they may have been restarted meanwhile.
 func (st *fleetState) updateEvacuations(now time.Time, evacuated []string) {
 	for _, domain := range st.evacuated {
 		if !slices.Contains(evacuated, domain) {
@@ -166,8 +166,8 @@
 	return v
 }
 
-// withRestoreColdTime returns an endpoint that counts as cold until the cold time after the restoring of its failure
-// domain is over.
+// withRestoreColdTime returns an endpoint, which counts as cold for the cold time of its service after its failure
+// domain was restored.
 func (st *fleetState) withRestoreColdTime(e fleet.Endpoint) fleet.Endpoint {
 	restored, ok := st.restoredAt[e.FailureDomain]
 	if !ok || st.table == nil {
