--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -103,7 +103,7 @@
 }
 
 // TestReportsReachCollector sends the reports of a region through one stream: the collector has the revision of every
-// instance, and its times are ahead by no more than staleAfter.
+// instance, and the time that it records for a state is at most staleAfter later than the true one.
 func TestReportsReachCollector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
--- a/distribution/failures.go
+++ b/distribution/failures.go
@@ -16,7 +16,7 @@
 // Failed records that a source stopped answering, refused or had no contact with a leader.
 func (f *Failures) Failed(now time.Time, source string) { f.avoidUntil[source] = now.Add(avoidPeriod) }
 
-// Order returns the sources in their order, except that those that failed recently come last.
+// Order returns the sources in the given order, except that those that failed within avoidPeriod come last.
 func (f *Failures) Order(now time.Time, sources []string) []string {
 	var ordered, avoided []string
 	for _, source := range sources {
--- a/distribution/reports.go
+++ b/distribution/reports.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// staleAfter is the age of the last report after which an instance is stale.
+// staleAfter is the age of the last known state of an instance after which the instance is stale; before, it is fresh.
 const staleAfter = 3 * time.Second
 
-// Instance is the state of an instance at a time: its revision in force and what it knew of its region.
+// Instance is the state of an instance at a time: its revision in force and what it knew of its region's ledger.
 type Instance struct {
 	Name     string
 	Region   string
@@ -20,7 +20,7 @@
 }
 
 // Report is a report on one stream; see the schema's FollowReport. Common is the revision of all fresh instances that
-// it does not list.
+// were listed earlier on the stream and are not in Instances.
 type Report struct {
 	Instances []Instance
 	Common    int64
@@ -63,9 +63,9 @@
 }
 
 type sentInstance struct {
-	revision int64
-	domain   string
-	stale    bool
+	revision          int64
+	ledgerFatalDomain string
+	stale             bool
 }
 
 // NewSender returns the sender of a new stream.
@@ -78,12 +78,12 @@
 	for _, i := range instances {
 		stale := now.Sub(i.At) > staleAfter
 		previous, known := s.sent[i.Name]
-		differs := !known || previous.stale != stale || !stale && previous.domain != i.LedgerFatalDomain || !stale && previous.revision != i.Revision && i.Revision != common
+		differs := !known || previous.stale != stale || !stale && previous.ledgerFatalDomain != i.LedgerFatalDomain || !stale && previous.revision != i.Revision && i.Revision != common
 		if differs || !stale && i.Revision != common {
 			r.Instances = append(r.Instances, i)
 		}
 		changed = changed || differs || previous.revision != i.Revision
-		s.sent[i.Name] = sentInstance{revision: i.Revision, domain: i.LedgerFatalDomain, stale: stale}
+		s.sent[i.Name] = sentInstance{revision: i.Revision, ledgerFatalDomain: i.LedgerFatalDomain, stale: stale}
 	}
 	if !changed {
 		return Report{}, false
--- a/distribution/versions.go
+++ b/distribution/versions.go
@@ -19,7 +19,8 @@
 	revision int64
 	whole    []byte
 	deltas   []Delta
-	bytes    int
+	// deltaBytes is the total length of the middle parts of the deltas.
+	deltaBytes int
 }
 
 // Revision returns the revision in force, or zero if there is none.
@@ -36,7 +37,7 @@
 	if revision == v.revision+1 && v.revision > 0 {
 		v.appendDelta(NewDelta(revision, v.whole, whole))
 	} else {
-		v.deltas, v.bytes = nil, 0
+		v.deltas, v.deltaBytes = nil, 0
 	}
 	v.revision, v.whole = revision, whole
 	return true
@@ -45,15 +46,15 @@
 // appendDelta appends a delta and drops the oldest ones beyond the bounds.
 func (v *Versions) appendDelta(d Delta) {
 	v.deltas = append(v.deltas, d)
-	v.bytes += len(d.Middle)
-	for len(v.deltas) > maxDeltas || v.bytes > maxDeltaBytes {
-		v.bytes -= len(v.deltas[0].Middle)
+	v.deltaBytes += len(d.Middle)
+	for len(v.deltas) > maxDeltas || v.deltaBytes > maxDeltaBytes {
+		v.deltaBytes -= len(v.deltas[0].Middle)
 		v.deltas = v.deltas[1:]
 	}
 }
 
-// Apply applies an update. It reports false if the update's revision is not
-// higher, and returns *ChecksumError if its deltas do not fit.
+// Apply applies an update. It returns false if the update's revision is not
+// above the one in force, and *ChecksumError if its deltas do not fit.
 func (v *Versions) Apply(u Update) (bool, error) {
 	if u.Revision <= v.revision {
 		return false, nil
@@ -77,7 +78,8 @@
 }
 
 // Since returns the update for a follower with the given revision and checksum; ok is false if the follower is up to
-// date. The update holds the whole inventory if deltas are missing, are no smaller or do not fit the checksum.
+// date. The update holds the whole inventory if deltas are missing, if they are not smaller than it, or if the checksum
+// of the follower is not that of its revision.
 func (v *Versions) Since(revision int64, checksum uint64) (u Update, ok bool) {
 	if revision >= v.revision {
 		return Update{}, false
--- a/fencing/issuer.go
+++ b/fencing/issuer.go
@@ -42,7 +42,7 @@
 
 // Issue returns the number of a new order to an engine; checks says whether the engine checks numbers.
 //
-// It returns *NoLeaseError, or *WaitError for an engine that does not check numbers.
+// It returns the errors of Check.
 func (x *Issuer) Issue(now time.Time, l Lease, checks bool) (Number, error) {
 	x.ObserveLease(now, l)
 	n := Number{Term: x.last.Term, Sequence: x.last.Sequence + 1}
--- a/fencing/number.go
+++ b/fencing/number.go
@@ -1,6 +1,6 @@
 package fencing
 
-// Number is the fencing token of an order; it orders the orders of all leaders by term and then by sequence.
+// Number is the fencing token of an order. The numbers of all leaders are compared by term and then by sequence.
 type Number struct {
 	Term     int64
 	Sequence int64
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -5,7 +5,7 @@
 // State is the state that an endpoint last reported.
 type State int
 
-// States of an endpoint; one incarnation passes through them only in this order.
+// States of an endpoint. An incarnation reports them in this order; the table enforces only that Gone is final.
 const (
 	// Ready endpoints take new requests.
 	Ready State = iota
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -29,8 +29,9 @@
 // NewEndpoints returns an empty table.
 func NewEndpoints() *Endpoints { return &Endpoints{records: map[string]*record{}} }
 
-// Announce stores a heartbeat and reports whether it was accepted, which an outdated one is not. A heartbeat without
-// new state renews the record and does not count as a change.
+// Announce stores a heartbeat and reports whether it was accepted. It rejects an outdated heartbeat, and one for an
+// address at which an endpoint that started later is known. A heartbeat without new state renews the record and does
+// not count as a change.
 func (t *Endpoints) Announce(e Endpoint) bool {
 	old := t.records[e.ID]
 	if old != nil && !e.supersedes(old.endpoint) {
@@ -47,7 +48,8 @@
 	return true
 }
 
-// addressOwner returns the record of another endpoint at the address of e, or nil; endpoints that are gone own none.
+// addressOwner returns the record of another endpoint at the address of e, or nil; endpoints that are gone own no
+// address.
 func (t *Endpoints) addressOwner(e Endpoint) *record {
 	for _, r := range t.records {
 		if r.endpoint.Address == e.Address && r.endpoint.ID != e.ID && r.endpoint.State != Gone && e.State != Gone {
@@ -57,8 +59,8 @@
 	return nil
 }
 
-// supersedeOwner marks the owner of an address as gone unless e started before it, and reports whether it did. Between
-// equal starts, such as two unknown ones, the later heartbeat wins.
+// supersedeOwner marks the owner of an address as gone and returns true, unless e started before the owner. Between
+// equal starts, such as two unknown ones, the heartbeat that arrives later wins.
 func (t *Endpoints) supersedeOwner(owner *record, e Endpoint) bool {
 	if e.Born < owner.endpoint.Born {
 		return false
@@ -72,8 +74,8 @@
 // coldTolerance is the difference in ColdUntil below which two heartbeats count as equal.
 const coldTolerance = 250 * time.Millisecond
 
-// sameState reports whether two records differ only in sequence, time, fractions of a second of GoneAt and up to
-// coldTolerance in ColdUntil.
+// sameState reports whether two records are equal apart from Sequence, LastSeen, fractions of a second of GoneAt, and a
+// difference in ColdUntil below coldTolerance.
 func sameState(a, b Endpoint) bool {
 	drift := a.ColdUntil.Sub(b.ColdUntil).Abs()
 	sameCold := a.ColdUntil.IsZero() == b.ColdUntil.IsZero() && drift < coldTolerance
@@ -87,8 +89,8 @@
 	t.records[e.ID] = &record{endpoint: e, change: t.change}
 }
 
-// Leave marks an endpoint as gone and reports whether it did; it leaves an incarnation later than born alone, and a
-// born of zero means any.
+// Leave marks an endpoint as gone and reports whether its state changed. An incarnation later than born is not marked;
+// a born of zero applies to any incarnation.
 func (t *Endpoints) Leave(now time.Time, id string, born int64) bool {
 	r := t.records[id]
 	if r == nil || r.endpoint.State == Gone || born != 0 && born < r.endpoint.Born {
@@ -189,7 +191,7 @@
 	r.gone, r.change = true, t.change
 }
 
-// Expire marks gateways whose lease has ended as gone, and drops gone ones after goneRetention.
+// Expire marks gateways whose lease has ended as gone, and drops gone ones goneRetention after their last report.
 func (t *Gateways) Expire(now time.Time) {
 	for name, r := range t.records {
 		if !r.gone && now.Sub(r.gateway.LastSeen) > t.lease {
--- a/limits/account.go
+++ b/limits/account.go
@@ -50,20 +50,23 @@
 
 // account is the state of one team's limit at one instance.
 type account struct {
-	self           string
-	team           string
-	ownRate        float64
-	ownUsableFrom  time.Time
-	leases         map[string][]lease
-	requested      map[string]lease
+	self          string
+	team          string
+	ownRate       float64
+	ownUsableFrom time.Time
+	// leases holds the granted leases by borrower.
+	leases map[string][]lease
+	// requested holds the last rate that each borrower asked for.
+	requested map[string]lease
+	// borrowedLeases and pendingAsks are keyed by lender.
 	borrowedLeases map[string]borrowedLease
 	pendingAsks    map[string]pendingAsk
 	lastNumber     uint64
 	// owner is the owner of the local region's share, and previousOwner the one before this instance became the owner.
 	owner         string
 	previousOwner string
-	// departed reports that the instance owned a share when it left, and successor is the first instance that it
-	// answered so.
+	// departed is set if the instance owned a share when it left, and successor is the first instance that asked it
+	// for a handover; no other instance is granted one.
 	departed  bool
 	successor string
 	bucket    bucket
@@ -142,15 +145,15 @@
 
 func (a *account) updateBucket(now time.Time) { a.bucket.setRate(now, a.availableRate(now)) }
 
-// newAsk returns an ask for a rate to a lender and records it as the last one to it.
+// newAsk returns an ask for a rate to a lender and records it as the last one to that lender.
 func (a *account) newAsk(now time.Time, lender string, rate float64) Ask {
 	a.lastNumber++
 	a.pendingAsks[lender] = pendingAsk{number: a.lastNumber, sentAt: now}
 	return Ask{Team: a.team, Lender: lender, Borrower: a.self, Number: a.lastNumber, Rate: rate}
 }
 
-// lend grants an ask the smaller of its fair share and the free rate; the instance's own demand has a fair share as
-// well.
+// lend grants an ask the smaller of its fair share and the free rate; the demand of the lender itself gets a fair share
+// as well.
 func (a *account) lend(now time.Time, ask Ask) Grant {
 	a.requested[ask.Borrower] = lease{rate: ask.Rate, expiresAt: now.Add(2 * LeaseTime)}
 	free := a.usableOwnRate(now) - a.leasedOut(now) + a.leasedTo(now, ask.Borrower)
@@ -162,12 +165,12 @@
 	return Grant{Team: ask.Team, Lender: a.self, Borrower: ask.Borrower, Number: ask.Number, Rate: rate, Duration: LeaseTime}
 }
 
-// desiredRate returns the rate that the instance can use.
+// desiredRate returns the rate that the instance needs: its demand with headroom, and at least idleRate.
 func (a *account) desiredRate(now time.Time) float64 {
 	return max(a.demand.rate(now)*demandHeadroomFactor, a.idleRate)
 }
 
-// fairShare returns the max-min fair share of a demand, among all known demands, in the rate that the instance owns.
+// fairShare returns the max-min fair share of a demand, among all known demands, of the rate that the instance owns.
 func (a *account) fairShare(now time.Time, want float64) float64 {
 	wants := []float64{a.desiredRate(now)}
 	for borrower, w := range a.requested {
@@ -206,23 +209,23 @@
 
 // demand averages the tokens that were requested of an account, allowed or not.
 type demand struct {
-	value     float64
+	tokens    float64
 	updatedAt time.Time
 }
 
 func (d *demand) decay(now time.Time) {
 	elapsed := max(now.Sub(d.updatedAt), 0)
-	d.value *= float64(demandWindow) / float64(demandWindow+elapsed)
+	d.tokens *= float64(demandWindow) / float64(demandWindow+elapsed)
 	d.updatedAt = now
 }
 
 func (d *demand) add(now time.Time, tokens float64) {
 	d.decay(now)
-	d.value += tokens
+	d.tokens += tokens
 }
 
 // rate returns the demand in tokens per second.
 func (d *demand) rate(now time.Time) float64 {
 	d.decay(now)
-	return d.value / demandWindow.Seconds()
+	return d.tokens / demandWindow.Seconds()
 }
--- a/limits/bucket.go
+++ b/limits/bucket.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// spend takes tokens if the bucket holds them, and otherwise returns the time to wait. A full bucket lets more than
-// the burst through and is then in debt.
+// spend takes tokens if the bucket holds them, and otherwise returns the time to wait. A full bucket allows even
+// a request for more tokens than it can hold; its level is negative afterwards.
 func (b *bucket) spend(tokens float64) (time.Duration, bool) {
 	if b.rate <= 0 {
 		return LeaseTime, false
--- a/limits/doc.go
+++ b/limits/doc.go
@@ -1,4 +1,4 @@
-// Package limits enforces the rate limits of teams across all instances without a central hop.
+// Package limits enforces the rate limits of teams across all instances without calls to a central service.
 //
 // A team's limit is split into one share for each region. In each region one
 // instance, found by rendezvous hashing over the live ones (Thaler,
--- a/limits/handover.go
+++ b/limits/handover.go
@@ -35,8 +35,9 @@
 	return ask
 }
 
-// grantHandover answers the first instance that asks with the time after which nothing of the share that was given up
-// is in use: when all leases have expired and when the instance itself could have started to use it.
+// grantHandover grants a handover to the first instance that asks, and refuses all others. Its duration is the time
+// after which nothing of the share is in use: all leases have expired, and so has the wait of this instance for its own
+// predecessor, if it left during that wait.
 func (a *account) grantHandover(now time.Time, ask Ask) (Grant, bool) {
 	if !a.departed || a.successor != "" && a.successor != ask.Borrower {
 		return Grant{}, false
--- a/limits/handover_test.go
+++ b/limits/handover_test.go
@@ -25,7 +25,7 @@
 	*network
 	up   []bool
 	left []bool
-	// knownOwners holds for each instance which of them may own shares, as far as it knows.
+	// knownOwners[i][j] is set if instance j may own shares, according to the last update that instance i received.
 	knownOwners    [][]bool
 	pendingUpdates []stateUpdate
 }
@@ -58,7 +58,7 @@
 	r.teams[i].Observe(r.local(i, now), []Limit{{Team: "club", HomeRegion: "lahore", TokensPerSecond: limit}}, []string{"lahore"}, members)
 }
 
-// broadcast sends a state to all instances; the instance itself knows it at once.
+// broadcast sends the state of one instance to all others; the instance itself knows it at once.
 func (r *region) broadcast(now time.Time, about int, owns bool, delay func() time.Duration) {
 	r.knownOwners[about][about] = owns
 	for i := range r.members {
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -22,7 +22,8 @@
 	grant   *Grant
 }
 
-// network is instances whose messages are lost, delayed, duplicated and cut off.
+// network connects instances by messages that are lost, delayed or duplicated. Messages between the regions that are
+// cut off and the others are dropped.
 type network struct {
 	members []Member
 	teams   []*Teams
--- a/limits/teams.go
+++ b/limits/teams.go
@@ -28,7 +28,7 @@
 	limits   map[string]Limit
 	// owners holds the known owners of each team's shares, by team and region.
 	owners map[string]map[string]string
-	// leaving reports that the instance owns nothing any more.
+	// leaving is set once the instance has given up its shares; it owns none from then on.
 	leaving bool
 }
 
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -25,8 +25,8 @@
 	started bool
 }
 
-// Observe returns the forecast updated by an amount that came since the last observation; the first one only sets the
-// time.
+// Observe returns the forecast updated by an amount that arrived since the last observation; the first observation
+// only sets the time.
 func (f Forecast) Observe(now time.Time, amount float64) Forecast {
 	dt := now.Sub(f.at).Seconds()
 	if f.at.IsZero() || dt <= 0 {
--- a/placement/group.go
+++ b/placement/group.go
@@ -20,7 +20,7 @@
 	copies []int
 	// serving counts the endpoints that serve each unit now and keep it after all pending changes.
 	serving []int
-	// kinds numbers the equivalence classes of members.
+	// kinds numbers the classes of members that are interchangeable for a change.
 	kinds map[kindKey]int
 	// tried marks the kinds that the present call of candidates has seen.
 	tried []bool
@@ -88,8 +88,8 @@
 	g.holdsUnit = slices.Grow(g.holdsUnit[:0], len(g.domains))[:len(g.domains)]
 }
 
-// number returns the number of a key and assigns the next one to a new key.
-func number[K comparable](numbers map[K]int, k K) int {
+// assignNumber returns the number of a key and assigns the next one to a new key.
+func assignNumber[K comparable](numbers map[K]int, k K) int {
 	n, ok := numbers[k]
 	if !ok {
 		n = len(numbers)
@@ -100,8 +100,8 @@
 
 // countMember adds a member to the counts and sets the numbers of its kind and failure domain.
 func (g *group) countMember(m *member) {
-	m.kind = number(g.kinds, m.kindKey())
-	m.domain = number(g.domains, m.FailureDomain)
+	m.kind = assignNumber(g.kinds, m.kindKey())
+	m.domain = assignNumber(g.domains, m.FailureDomain)
 	if m.Leaving {
 		return
 	}
@@ -117,7 +117,8 @@
 }
 
 // supply returns the tokens a second that the endpoints provide for each unit. Endpoints are allocated in the order
-// of the members, the least flexible first. The result is valid until the next call.
+// of the members, those that hold the fewest names first, as they are the least flexible. The result is valid until the
+// next call.
 func (g *group) supply() []float64 {
 	clear(g.supplied)
 	for _, m := range g.members {
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -19,7 +19,8 @@
 // Demand stays in its region if the model may run there and the service has
 // endpoints there. Other demand goes to the allowed region with the least cost
 // by the objective. Added to this is the largest failover demand that the loss
-// of any one other region would cause, limited by the rules' headroom.
+// of any one other region would cause, limited for each service to
+// the rules' headroom, a fraction of the service's capacity in the region.
 func needs(v View) map[modelKey]float64 {
 	capacity := capacities(v.Endpoints)
 	required := map[modelKey]float64{}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// adoptLoads records as pending each announced load that this planner did not order, which is one of an earlier
-// leader. As the start of the load is unknown, the weight store counts as busy for the whole load time from now on.
-// Each order is adopted only once, so that an endpoint that never finishes its load is blocked no longer than by an
-// order of this planner.
+// adoptLoads records as pending each announced load that this planner did not order: an earlier leader ordered it. As
+// the start of the load is unknown, the weight store counts as busy for the whole load time from now on. Each order is
+// adopted only once, so that an endpoint that never finishes its load is blocked no longer than by an order of this
+// planner.
 func (p *Planner) adoptLoads(now time.Time, v View) {
 	previous := p.seenLoads
 	p.seenLoads = map[string]fencing.Number{}
@@ -240,7 +240,7 @@
 	}
 }
 
-// matchesOrder reports whether the announced models are the ordered ones, in any sequence; a model may be announced
+// matchesOrder reports whether the announced models are the ordered ones, in any order; a model may be announced
 // without its version.
 func matchesOrder(models, ordered []string) bool {
 	return len(models) == len(ordered) && !slices.ContainsFunc(ordered, func(name string) bool {
--- a/placement/unit.go
+++ b/placement/unit.go
@@ -9,7 +9,7 @@
 
 // Indexes without a unit.
 const (
-	// notOffered is the unit of a name that the service may not offer in the region.
+	// notOffered is the unit index of a name that the service may not offer in the region.
 	notOffered = -1
 	// noModel is the model index of a unit that is a model itself.
 	noModel = -1
@@ -61,7 +61,7 @@
 	return units
 }
 
-// newUnit returns the unit of a name. The units must contain the model of an adapter, which the service offers
+// newUnit returns the unit of a name. If it is an adapter, units must contain its model; a service offers the model
 // wherever it offers the adapter.
 func newUnit(inv *inventory.Inventory, name string, units []unit) unit {
 	n := inventory.ParseName(name)
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -24,6 +24,7 @@
 // emulatedEngine is an engine that carries out an order after a delay.
 type emulatedEngine struct {
 	placement.Endpoint
+	// next are the names that the engine serves from loadedAt.
 	next     []string
 	loadedAt time.Time
 	// expires is the time from which the planner may count the load as failed.
@@ -34,16 +35,16 @@
 
 // world is a set of engines under a planner.
 type world struct {
-	t         *rapid.T
-	now       time.Time
-	inventory *inventory.Inventory
-	engines   []*emulatedEngine
-	demands   []placement.Demand
-	planner   *placement.Planner
-	lastLoad  map[string]time.Time
-	orders    int64
-	delay     func() time.Duration
-	late      func() bool
+	t           *rapid.T
+	now         time.Time
+	inventory   *inventory.Inventory
+	engines     []*emulatedEngine
+	demands     []placement.Demand
+	planner     *placement.Planner
+	storeFreeAt map[string]time.Time
+	orders      int64
+	delay       func() time.Duration
+	late        func() bool
 }
 
 func drawInventory(t *rapid.T) *inventory.Inventory {
@@ -85,7 +86,7 @@
 }
 
 func drawWorld(t *rapid.T) *world {
-	w := &world{t: t, now: start, inventory: drawInventory(t), planner: placement.New(placement.DefaultConfig(period)), lastLoad: map[string]time.Time{}}
+	w := &world{t: t, now: start, inventory: drawInventory(t), planner: placement.New(placement.DefaultConfig(period)), storeFreeAt: map[string]time.Time{}}
 	w.delay = func() time.Duration { return time.Duration(rapid.IntRange(0, 90).Draw(t, "delay")) * time.Second }
 	w.late = func() bool { return rapid.IntRange(0, 3).Draw(t, "late") == 0 }
 	for _, r := range w.inventory.Contents().Regions {
@@ -275,10 +276,10 @@
 	if load == 0 {
 		return
 	}
-	if w.now.Before(w.lastLoad[c.Region]) {
+	if w.now.Before(w.storeFreeAt[c.Region]) {
 		w.t.Errorf("region %q loads %q before the weight store has served the previous load", c.Region, c.Load)
 	}
-	w.lastLoad[c.Region] = w.now.Add(load)
+	w.storeFreeAt[c.Region] = w.now.Add(load)
 }
 
 // allowed is an independent oracle of residency for a model or an adapter.
--- a/residency/oracle_test.go
+++ b/residency/oracle_test.go
@@ -87,7 +87,8 @@
 	return inv
 }
 
-// oracle removes every region that some table forbids; it is independent of the package under test.
+// oracle reports whether a region is left after it has removed every region that some table forbids. If run is set, the
+// tables of services, models and adapters apply too. It is independent of the package under test.
 func (w world) oracle(team string, s residency.Subject, region string, run bool) bool {
 	permitted := map[string]bool{}
 	for _, r := range w.regions {
--- a/routes/table.go
+++ b/routes/table.go
@@ -78,7 +78,8 @@
 	CacheTokens int64
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// FetchTime is the time to fetch the cache of one prompt token from another engine; zero if engines cannot fetch.
+	// FetchTime is the time to fetch the KV cache of one prompt token from another engine; zero if engines cannot
+	// fetch.
 	FetchTime time.Duration
 }
 
@@ -91,7 +92,7 @@
 	ColdTime time.Duration
 	// ColdRate is the limit of requests a second at a cold endpoint; zero sets no limit.
 	ColdRate float64
-	// Engine is nil for a service that is no model engine.
+	// Engine is nil if the endpoints of the service are not model engines.
 	Engine *Engine
 }
 
