--- a/configuration/history.go
+++ b/configuration/history.go
@@ -7,7 +7,7 @@
 	"arbutusreel/distribution"
 )
 
-// Limits of a history: the number of records, and the total size of their Undo deltas in bytes.
+// Limits of a history: the number of records, and the total size of the Middle fields of their Undo deltas in bytes.
 const (
 	maxRecords   = 500
 	maxUndoBytes = 1 << 20
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -38,7 +38,8 @@
 	revision  int64
 	inventory *inventory.Inventory
 	answers   map[string]Answer
-	// answerOrder holds the change IDs, oldest first; evicted is how many at its start have no stored answer any more.
+	// answerOrder holds the change IDs, oldest first; evicted is the number of IDs at its start whose answers have been
+	// evicted.
 	answerOrder []string
 	evicted     int
 }
--- a/consensus/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// bootstrap asks every initial voter for the identity of its disk. Bootstrap is
-// an election in which all initial voters must vote for the first one, and an
-// initial voter votes only while its log is empty. Initial voters whose disks
-// were wiped therefore cannot bootstrap a second quorum while another one still
-// has the log of the first quorum.
+// bootstrap asks the other initial voters for their votes and for the identities
+// of their disks; it does nothing unless this node is the first in the list of
+// initial voters. Bootstrap is an election in which all initial voters must vote
+// for the first one, and an initial voter votes only while its log is empty.
+// Initial voters whose disks were wiped therefore cannot bootstrap a second
+// quorum while another initial voter still has the log of the first quorum.
 func (n *Node) bootstrap() {
 	if len(n.cfg.InitialVoters) == 0 || n.cfg.InitialVoters[0].Name != n.cfg.Self.Name {
 		return
@@ -56,12 +57,12 @@
 // finishBootstrap makes this node the leader once all initial voters have voted for it.
 func (n *Node) finishBootstrap(now time.Time) {
 	var members Members
-	for _, f := range n.cfg.InitialVoters {
-		id := n.bootstrapVotes[f.Name]
+	for _, v := range n.cfg.InitialVoters {
+		id := n.bootstrapVotes[v.Name]
 		if id == (ID{}) {
 			return
 		}
-		members = members.With(Member{ID: id, Address: f.Address, Voter: true})
+		members = members.With(Member{ID: id, Address: v.Address, Voter: true})
 	}
 	n.bootstrapVotes = nil
 	n.becomeLeader(now, Entry{Kind: MembersEntry, Members: members})
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	testHeartbeat = 20 * time.Millisecond
-	testElection  = 100 * time.Millisecond
+	testHeartbeat       = 20 * time.Millisecond
+	testElectionTimeout = 100 * time.Millisecond
 	// snapshotEvery is the number of applied entries between two snapshots.
 	snapshotEvery = 15
 )
@@ -26,7 +26,8 @@
 	op   *op
 }
 
-// server is one instance with its disk, its clock and its network state.
+// server is one instance with its disk, its clock and its network state; rate is its clock's rate relative to the
+// simulated time, and disks the number of disks that it has had.
 type server struct {
 	name     string
 	id       ID
@@ -52,29 +53,31 @@
 
 // cluster simulates servers in memory with one seeded random source.
 type cluster struct {
-	t             testingT
-	rnd           *rand.Rand
-	now           time.Duration
-	epoch         time.Time
-	servers       []*server
-	initialVoters []InitialVoter
-	network       []delivery
-	loss          float64
-	election      time.Duration
+	t               testingT
+	rnd             *rand.Rand
+	now             time.Duration
+	epoch           time.Time
+	servers         []*server
+	initialVoters   []InitialVoter
+	network         []delivery
+	loss            float64
+	electionTimeout time.Duration
 	// cutLinks holds the links that drop every message, keyed by the names of sender and receiver.
 	cutLinks map[string]bool
-	leaders  map[int64]ID
-	history  map[int64]Entry
-	states   map[int64]int64
-	ops      []*op
-	tokens   int64
-	wiped    int
+	// leaders is keyed by the term; history and revisions, which hold the applied entry and the revision after it, are
+	// keyed by the index.
+	leaders   map[int64]ID
+	history   map[int64]Entry
+	revisions map[int64]int64
+	ops       []*op
+	tokens    int64
+	wiped     int
 }
 
 func newCluster(t testingT, count int, seed uint64, rates []float64) *cluster {
 	c := &cluster{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), epoch: time.Unix(1_000_000, 0), loss: 0.05, election: testElection, cutLinks: map[string]bool{},
-		leaders: map[int64]ID{}, history: map[int64]Entry{}, states: map[int64]int64{},
+		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), epoch: time.Unix(1_000_000, 0), loss: 0.05, electionTimeout: testElectionTimeout, cutLinks: map[string]bool{},
+		leaders: map[int64]ID{}, history: map[int64]Entry{}, revisions: map[int64]int64{},
 	}
 	for i := range count {
 		name := string(rune('a' + i))
@@ -98,7 +101,7 @@
 	if s.node != nil {
 		return
 	}
-	cfg := Config{Self: s.id, Address: s.name, InitialVoters: c.initialVoters, Heartbeat: testHeartbeat, ElectionTimeout: c.election, RetainedEntries: 5}
+	cfg := Config{Self: s.id, Address: s.name, InitialVoters: c.initialVoters, Heartbeat: testHeartbeat, ElectionTimeout: c.electionTimeout, RetainedEntries: 5}
 	s.state, s.applied = register{Answers: map[int]casAnswer{}}, 0
 	if s.stored.Snapshot != nil {
 		s.restore(s.stored.Snapshot)
@@ -275,10 +278,10 @@
 
 // checkState checks that all servers have the same revision at the same index.
 func (c *cluster) checkState(s *server) {
-	if known, ok := c.states[s.applied]; ok && known != s.state.Revision {
+	if known, ok := c.revisions[s.applied]; ok && known != s.state.Revision {
 		c.t.Fatalf("%s has revision %d at index %d, others %d", s.id, s.state.Revision, s.applied, known)
 	}
-	c.states[s.applied] = s.state.Revision
+	c.revisions[s.applied] = s.state.Revision
 }
 
 func (c *cluster) answer(o *op, a casAnswer) {
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -156,7 +156,7 @@
 func TestLeaseIsExclusive(t *testing.T) {
 	for seed := range uint64(300) {
 		c := newCluster(t, 3, seed, []float64{0.955, 1.045, 1.045})
-		c.loss, c.election = 0, 4*testElection
+		c.loss, c.electionTimeout = 0, 4*testElectionTimeout
 		for _, s := range c.servers {
 			c.wipe(s)
 			c.start(s)
@@ -179,7 +179,7 @@
 }
 
 func TestOldTermIsNotEchoed(t *testing.T) {
-	n := New(Config{Self: ID{Name: "a"}, ElectionTimeout: testElection}, Restored{HardState: HardState{Term: 5}}, time.Unix(0, 0), rand.New(rand.NewPCG(1, 1)))
+	n := New(Config{Self: ID{Name: "a"}, ElectionTimeout: testElectionTimeout}, Restored{HardState: HardState{Term: 5}}, time.Unix(0, 0), rand.New(rand.NewPCG(1, 1)))
 	n.Receive(time.Unix(0, 0), Message{Kind: AppendRequest, To: ID{Name: "a"}, Term: 3, Round: 1000, SentAt: time.Hour})
 	for _, m := range n.Actions().Messages {
 		if m.Term != 5 || m.Round != 0 || m.SentAt != 0 {
@@ -193,7 +193,7 @@
 // leader may have committed them.
 func TestLateInstallKeepsEntries(t *testing.T) {
 	self := ID{Name: "a"}
-	n := New(Config{Self: self, ElectionTimeout: testElection}, Restored{HardState: HardState{Term: 1}}, time.Unix(0, 0), rand.New(rand.NewPCG(1, 1)))
+	n := New(Config{Self: self, ElectionTimeout: testElectionTimeout}, Restored{HardState: HardState{Term: 1}}, time.Unix(0, 0), rand.New(rand.NewPCG(1, 1)))
 	var entries []Entry
 	for i := range int64(5) {
 		entries = append(entries, Entry{Index: i + 1, Term: 1})
@@ -217,11 +217,11 @@
 		members = members.With(Member{ID: id, Voter: true})
 	}
 	now := time.Unix(0, 0)
-	n := New(Config{Self: ids[0], Heartbeat: testHeartbeat, ElectionTimeout: testElection}, Restored{
+	n := New(Config{Self: ids[0], Heartbeat: testHeartbeat, ElectionTimeout: testElectionTimeout}, Restored{
 		HardState: HardState{Term: 2},
 		Entries:   []Entry{{Index: 1, Term: 1, Kind: MembersEntry, Members: members}, {Index: 2, Term: 2}},
 	}, now, rand.New(rand.NewPCG(1, 1)))
-	now = now.Add(2 * testElection)
+	now = now.Add(2 * testElectionTimeout)
 	n.Tick(now)
 	n.Receive(now, Message{Kind: PreVoteReply, From: ids[1], To: ids[0], Term: 3, Granted: true})
 	n.Receive(now, Message{Kind: VoteReply, From: ids[1], To: ids[0], Term: 3, Granted: true})
@@ -361,7 +361,7 @@
 		t.Fatal("no voter could take over leadership")
 	}
 	c.processActions(old)
-	c.run(testElection / 2)
+	c.run(testElectionTimeout / 2)
 	if next := c.waitForLeader(); next == old {
 		t.Error("the old leader was elected again")
 	}
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -45,13 +45,13 @@
 	n.leader = ID{}
 	n.votes = map[ID]bool{n.cfg.Self: true}
 	// A refused pre-vote disturbs no leader, so it is repeated sooner than an election. After a restart of all voters,
-	// those that started last withhold their votes a little longer than the others.
+	// the first pre-votes may be refused, because those voters that started last withhold their votes the longest.
 	n.electionAt = now.Add(n.cfg.ElectionTimeout/2 + time.Duration(n.rnd.Int64N(int64(n.cfg.ElectionTimeout/2))))
 	if n.hasVoteMajority() {
 		n.campaign(now, false)
 		return
 	}
-	n.sendMembers(Message{Kind: PreVoteRequest, Term: n.hardState.Term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}, true)
+	n.sendToMembers(Message{Kind: PreVoteRequest, Term: n.hardState.Term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}, true)
 }
 
 func (n *Node) onPreVoteRequest(now time.Time, m Message) {
@@ -84,7 +84,7 @@
 		n.becomeLeader(now, Entry{Kind: TermEntry})
 		return
 	}
-	n.sendMembers(Message{Kind: VoteRequest, Index: n.log.last(), LogTerm: n.log.lastTerm(), Transfer: transfer}, true)
+	n.sendToMembers(Message{Kind: VoteRequest, Index: n.log.last(), LogTerm: n.log.lastTerm(), Transfer: transfer}, true)
 }
 
 func (n *Node) onVoteRequest(now time.Time, m Message) {
@@ -134,7 +134,7 @@
 	n.progress = map[ID]*progress{}
 	n.pendingReads = nil
 	n.leaderSince = now
-	n.termStart = n.log.last() + 1
+	n.termStartIndex = n.log.last() + 1
 	n.append(now, first)
 	n.heartbeatAt = now
 	n.tickLeader(now)
--- a/consensus/lease.go
+++ b/consensus/lease.go
@@ -6,8 +6,8 @@
 )
 
 // The drift margin is the fraction of the election timeout by which a lease is
-// shorter than it. The clock rates of two voters must differ by less than this
-// fraction.
+// shorter than the timeout. The clock rates of two voters must differ by less
+// than this fraction.
 const (
 	driftMarginNumerator   = 1
 	driftMarginDenominator = 10
@@ -46,7 +46,7 @@
 	}
 	timeout := n.cfg.ElectionTimeout
 	end = n.quorumAckTime(now).Add(timeout - timeout*driftMarginNumerator/driftMarginDenominator)
-	return n.hardState.Term, end, now.Before(end) && n.commit >= n.termStart
+	return n.hardState.Term, end, now.Before(end) && n.commit >= n.termStartIndex
 }
 
 // Read requests an index that is current at some time after the call. The
@@ -58,7 +58,7 @@
 	if n.role != leader {
 		return &NotLeaderError{Self: n.cfg.Self, Leader: n.leader}
 	}
-	if n.commit < n.termStart {
+	if n.commit < n.termStartIndex {
 		return &NotReadyError{Term: n.hardState.Term}
 	}
 	if _, _, ok := n.Lease(now); ok {
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -46,12 +46,13 @@
 	return index, n.hardState.Term, nil
 }
 
-// checkChangeAllowed returns an error until the previous membership change and an entry of this term are committed.
+// checkChangeAllowed returns an error if the node is not the leader, or if the previous membership change or the first
+// entry of the leader's term is not committed yet.
 func (n *Node) checkChangeAllowed() error {
 	if n.role != leader {
 		return &NotLeaderError{Self: n.cfg.Self, Leader: n.leader}
 	}
-	if n.commit < n.termStart {
+	if n.commit < n.termStartIndex {
 		return &NotReadyError{Term: n.hardState.Term}
 	}
 	if set := n.log.currentMembers(); set.index > n.commit {
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -41,7 +41,7 @@
 // remove these three at once.
 //
 // If the second removal were accepted before the first is committed, the leader and its follower could form a majority
-// of their own while the other three form another one.
+// of the reduced set of members while the other three form a majority of the original set.
 func TestSecondChangeBeforeCommit(t *testing.T) {
 	c := newCluster(t, 5, 10, equalRates)
 	c.loss = 0
@@ -87,7 +87,7 @@
 		away = others[2]
 	}
 	c.partition([]*server{away}, slices.DeleteFunc(slices.Clone(others), func(s *server) bool { return s == away }))
-	c.run(testElection / 2)
+	c.run(testElectionTimeout / 2)
 	if _, _, err := next.node.Remove(c.clock(next), away.name); !errors.As(err, new(*NotReadyError)) {
 		t.Errorf("a removal before an entry of the term: %v", err)
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -36,11 +36,11 @@
 	votes             map[ID]bool
 	bootstrapVotes    map[string]ID
 
-	progress     map[ID]*progress
-	leaderSince  time.Time
-	termStart    int64
-	round        int64
-	pendingReads []pendingRead
+	progress       map[ID]*progress
+	leaderSince    time.Time
+	termStartIndex int64
+	round          int64
+	pendingReads   []pendingRead
 
 	out Actions
 }
@@ -115,6 +115,7 @@
 		}
 	default:
 	}
+	// A granted PreVoteReply carries the term of an election that has not started yet.
 	if m.Term > n.hardState.Term && (m.Kind != PreVoteReply || !m.Granted) {
 		n.becomeFollower(now, m.Term)
 	}
@@ -125,7 +126,7 @@
 	n.handleCurrentTerm(now, m)
 }
 
-// handleCurrentTerm handles a message of the current term.
+// handleCurrentTerm handles a message of the current term, or a granted PreVoteReply of a later term.
 func (n *Node) handleCurrentTerm(now time.Time, m Message) {
 	switch m.Kind {
 	case PreVoteReply:
@@ -162,8 +163,8 @@
 	}
 }
 
-func (n *Node) reply(to Message, m Message) {
-	n.send(to.From, to.FromAddress, m)
+func (n *Node) reply(request Message, m Message) {
+	n.send(request.From, request.FromAddress, m)
 }
 
 func (n *Node) send(to ID, address string, m Message) {
@@ -175,8 +176,8 @@
 	n.out.Messages = append(n.out.Messages, m)
 }
 
-// sendMembers sends m to every other member, or to every other voter.
-func (n *Node) sendMembers(m Message, votersOnly bool) {
+// sendToMembers sends m to every other member or, if votersOnly is set, to every other voter.
+func (n *Node) sendToMembers(m Message, votersOnly bool) {
 	for _, member := range n.log.currentMembers().members {
 		if member.ID == n.cfg.Self || votersOnly && !member.Voter {
 			continue
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -15,9 +15,10 @@
 type progress struct {
 	match int64
 	next  int64
-	// inflightSince is the time at which the entries not yet acknowledged were sent, or zero if there are none.
+	// inflightSince is the time at which the unacknowledged entries or snapshot were sent, or zero if there are none.
 	inflightSince time.Time
-	// inflightRound is the round in which these entries were sent; a reply to a later round means that they were lost.
+	// inflightRound is the heartbeat round in which they were sent; after a reply to a later round, they are considered
+	// lost.
 	inflightRound int64
 	// ackedAt and ackedRound are the send time and the round of the newest acknowledged request.
 	ackedAt    time.Time
@@ -60,8 +61,8 @@
 	n.progress = kept
 }
 
-// tickLeader sends heartbeats and promotes learners, or steps down if no majority has acknowledged a request within two
-// election timeouts.
+// tickLeader sends heartbeats and promotes a learner, or steps down if no majority has acknowledged a request within
+// two election timeouts.
 func (n *Node) tickLeader(now time.Time) {
 	if now.Before(n.heartbeatAt) {
 		return
@@ -101,7 +102,8 @@
 	})
 }
 
-// sendEntries sends each member the entries that it lacks, with at most one unacknowledged request per member.
+// sendEntries sends each member the entries that it lacks, or the snapshot if they have been compacted. Each member has
+// at most one such request in flight; after one election timeout without an acknowledgement, it is sent again.
 func (n *Node) sendEntries(now time.Time) {
 	for _, member := range n.log.currentMembers().members {
 		p := n.progress[member.ID]
@@ -168,8 +170,8 @@
 	n.log.append(e)
 }
 
-// conflictHint returns the index that the leader should try after a mismatch at index: the last one before the entries
-// of the term found below it, but not below the commit index.
+// conflictHint returns the index at which the leader should compare the logs after a mismatch at index. It skips the
+// last entry before index and all entries of that entry's term, but none up to the commit index.
 func (n *Node) conflictHint(index int64) int64 {
 	index = min(index-1, n.log.last())
 	term, _ := n.log.term(index)
@@ -228,8 +230,9 @@
 	}
 }
 
-// advanceCommit commits up to the last index that a majority of the voters has, if its entry is of the current term.
-// The leader steps down once a set of members that does not include it as a voter is committed.
+// advanceCommit commits up to the last index that a majority of the voters has, if its entry is of the current term,
+// and answers the reads that a majority has confirmed. The leader steps down once a set of members that does not
+// include it as a voter is committed.
 func (n *Node) advanceCommit(now time.Time) {
 	var matches []int64
 	for _, id := range n.log.currentMembers().members.Voters() {
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -165,13 +165,14 @@
 	Snapshot *Snapshot
 	// Granted reports that the vote was granted, or that the entries or the snapshot were accepted.
 	Granted bool
-	// Match is the last index known to match the leader's log or, if Granted is false, the index to try next.
+	// Match is the last index known to match the leader's log or, if Granted is false, the index at which the leader
+	// should compare the logs next.
 	Match int64
 	// Transfer marks a vote request of a leadership transfer: the leader of the previous term has stepped down in
 	// the candidate's favour.
 	Transfer bool
-	// Round and SentAt of an AppendRequest or InstallRequest are echoed in the reply; SentAt is the time since the
-	// sender's start.
+	// Round is the leader's heartbeat round, and SentAt the send time as the duration since the leader's node started.
+	// The reply to an AppendRequest or InstallRequest of the current term echoes both.
 	Round  int64
 	SentAt time.Duration
 }
--- a/journal/journal.go
+++ b/journal/journal.go
@@ -74,7 +74,7 @@
 		if torn {
 			reason = "the identity is incomplete"
 		}
-		if reason != "" && c.Identity != "" && mayBeCrashTrace(b, end) {
+		if reason != "" && c.Identity != "" && mayBeCrashDamage(b, end) {
 			return c, end, nil
 		}
 		if reason == "" {
--- a/journal/record.go
+++ b/journal/record.go
@@ -75,15 +75,15 @@
 	return int64(binary.LittleEndian.Uint64(p.payload))
 }
 
-// mayBeCrashTrace reports whether the damage of the frame at offset may result from a power failure: its end was never
+// mayBeCrashDamage reports whether the damage of the frame at offset may result from a power failure: its end was never
 // written and reads as zeros, and no later frame shows that it had been synced. A power failure may lose an unsynced
 // write and preserve a later one.
-func mayBeCrashTrace(b []byte, offset int64) bool {
+func mayBeCrashDamage(b []byte, offset int64) bool {
 	return endsInZeros(b[offset:]) && !wasSynced(b, offset)
 }
 
-// endsInZeros reports whether the damaged frame at the start of b ends in zeros. If the header is damaged, its last
-// field, the payload's checksum, must be zero, since the write ended before it.
+// endsInZeros reports whether the damaged frame at the start of b ends in a zero byte. If the header is damaged, its
+// last field, the payload's checksum, must be zero, since the bytes that reached the disk ended before that field.
 func endsInZeros(b []byte) bool {
 	if binary.LittleEndian.Uint32(b[headerSumOffset:]) != headerSum(b) {
 		return binary.LittleEndian.Uint64(b[headerSumOffset+4:]) == 0
