--- a/completion/answer.go
+++ b/completion/answer.go
@@ -6,7 +6,7 @@
 	"arbutusreel/stream"
 )
 
-// chunk is one event of a streamed answer on the wire.
+// chunk is the JSON form of one event of a streamed answer, or of a complete answer.
 type chunk struct {
 	ID       string   `json:"id"`
 	Object   string   `json:"object"`
@@ -56,7 +56,7 @@
 	} else {
 		c.Text = &p.Text
 	}
-	m := a.message(".chunk", c)
+	m := a.newChunk(".chunk", c)
 	m.Position = &p.Position
 	return encode(m)
 }
@@ -67,7 +67,7 @@
 	if a.Kind == Chat {
 		c.Delta = &content{}
 	}
-	m := a.message(".chunk", c)
+	m := a.newChunk(".chunk", c)
 	m.Usage = usageOf(e)
 	return encode(m)
 }
@@ -80,12 +80,12 @@
 	} else {
 		c.Text = &text
 	}
-	m := a.message("", c)
+	m := a.newChunk("", c)
 	m.Usage = usageOf(e)
 	return encode(m)
 }
 
-func (a Answer) message(suffix string, c choice) chunk {
+func (a Answer) newChunk(suffix string, c choice) chunk {
 	return chunk{ID: a.ID, Object: a.object(suffix), Model: a.Model, Attempt: a.Attempt, Choices: []choice{c}}
 }
 
--- a/completion/prefix.go
+++ b/completion/prefix.go
@@ -6,7 +6,8 @@
 const PrefixBlockBytes = 256
 
 // PrefixHashes returns one hash for each whole block of the prompt, in order; each hash covers the prompt up to the
-// end of its block, so that two prompts share their first n hashes if and only if they share their first n blocks.
+// end of its block, so that two prompts share their first n hashes if and only if they share their first n blocks,
+// apart from hash collisions.
 func PrefixHashes(prompt string) []uint64 {
 	n := len(prompt) / PrefixBlockBytes
 	if n == 0 {
--- a/completion/request.go
+++ b/completion/request.go
@@ -32,7 +32,8 @@
 	Fields       map[string]json.RawMessage
 }
 
-// MalformedError reports a field of a request that cannot be decoded.
+// MalformedError reports a field of a request that cannot be decoded; Field is empty if the request as a whole, or an
+// event of an answer, cannot be decoded.
 type MalformedError struct {
 	Field string
 	Cause error
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -9,8 +9,8 @@
 	"arbutusreel/decision"
 )
 
-// FuzzWrite checks that a line written by the logger is found under its id, and that text in a value is never taken
-// for a key.
+// FuzzWrite checks that the lines found under the id of a written line are valid JSON, and that text in a value is
+// never taken for a key.
 func FuzzWrite(f *testing.F) {
 	f.Add("c1", `"correlationId":"c2"`)
 	f.Add(`a"b\`, `\`)
--- a/decision/order.go
+++ b/decision/order.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// lineHeader holds the fields by which lines are ordered.
+// lineHeader holds the time and the instance of a line; lines are ordered by the time only.
 type lineHeader struct {
 	Time     string `json:"time"`
 	Instance string `json:"instance"`
--- a/decision/store.go
+++ b/decision/store.go
@@ -43,6 +43,7 @@
 	// first is the number of the oldest kept line.
 	first int
 	lines []line
+	// index holds the numbers of the kept lines of each subject, in ascending order.
 	index map[Subject][]int
 }
 
@@ -53,7 +54,7 @@
 	return &Store{maxBytes: maxBytes, index: map[Subject][]int{}}
 }
 
-// Write keeps the line if it explains a decision; it never fails.
+// Write keeps the line if it explains a decision and fits into the store; it never fails.
 func (s *Store) Write(b []byte) (int, error) {
 	subjects := subjectsOf(b)
 	if len(subjects) == 0 {
--- a/decision/store_test.go
+++ b/decision/store_test.go
@@ -37,30 +37,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(200, 2000).Draw(t, "limit")
 		s := decision.New(limit)
-		model := map[string][]string{}
-		var kept []string
+		found := map[string][]string{}
+		var written []string
 		for i := range rapid.IntRange(1, 60).Draw(t, "lines") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			text := fmt.Sprintf(`{"correlationId":%q,"n":%d,"pad":%q}`, id, i, strings.Repeat("x", rapid.IntRange(0, 60).Draw(t, "pad")))
 			if _, err := s.Write([]byte(text + "\n")); err != nil {
 				t.Fatal(err)
 			}
-			kept = append(kept, text)
+			written = append(written, text)
 			if s.Bytes() > limit {
 				t.Fatalf("%d bytes in use, at most %d", s.Bytes(), limit)
 			}
 		}
 		total := 0
 		for _, id := range []string{"a", "b", "c"} {
-			model[id] = s.Lines(decision.Subject{Kind: decision.Request, Name: id})
-			total += len(model[id])
+			found[id] = s.Lines(decision.Subject{Kind: decision.Request, Name: id})
+			total += len(found[id])
 		}
-		for _, text := range kept[len(kept)-total:] {
+		for _, text := range written[len(written)-total:] {
 			id := text[len(`{"correlationId":"`) : len(`{"correlationId":"`)+1]
-			if len(model[id]) == 0 || model[id][0] != text {
-				t.Fatalf("line %s is not the next kept one of %q", text, model[id])
+			if len(found[id]) == 0 || found[id][0] != text {
+				t.Fatalf("line %s is not the next kept one of %q", text, found[id])
 			}
-			model[id] = model[id][1:]
+			found[id] = found[id][1:]
 		}
 	})
 }
--- a/dispatch/counts.go
+++ b/dispatch/counts.go
@@ -8,7 +8,8 @@
 	Refused  int64
 	// WrongRefusals counts the refused requests for which there would have been capacity in time.
 	WrongRefusals int64
-	SentAway      int64
+	// SentAway counts the attempts that were forwarded to another region.
+	SentAway int64
 	// Retries counts the further attempts of requests before the first piece of their answer, and Resumes those of
 	// streams whose answer had started.
 	Retries int64
--- a/dispatch/crossregion.go
+++ b/dispatch/crossregion.go
@@ -9,20 +9,21 @@
 
 // tryForward forwards the request to another region if its own region lacks capacity: the region has no endpoint for
 // the request, cannot meet its deadline, or has kept requests waiting for minShortageTime and the other region is
-// expected to be better. A small share of the requests may be forwarded to a better region before that. It returns
-// nil if the request is not forwarded.
-func (s *scheduler) tryForward(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) *placement {
-	if local && j.class.Deferrable {
+// expected to be better. A small share of the requests may be forwarded to a better region before that. A deferrable
+// request is forwarded only if the region has no endpoint for it. tryForward returns nil if the request is not
+// forwarded.
+func (s *scheduler) tryForward(now time.Time, j *job, q *modelQueue, d routing.Decision, hasEndpoint bool) *placement {
+	if hasEndpoint && j.class.Deferrable {
 		return nil
 	}
-	reason, ownTerms := s.forwardReason(now, j, q, d, local)
+	reason, localTerms := s.forwardReason(now, j, q, d, hasEndpoint)
 	if reason == "" {
 		return nil
 	}
 	routes := slices.DeleteFunc(j.routes(s.self.Region), func(r routing.Route) bool {
 		return !s.regionBreakers.Allows(now, r.Region)
 	})
-	target, ok := s.regions.Choose(now, &j.query, j.wireBytes(), routes, ownTerms)
+	target, ok := s.regions.Choose(now, &j.query, j.wireBytes(), routes, localTerms)
 	if !ok {
 		return nil
 	}
@@ -30,7 +31,7 @@
 	if reason == forwardBetter {
 		s.optionalForwards--
 	}
-	s.explainForward(j, target, ownTerms, reason)
+	s.explainForward(j, target, localTerms, reason)
 	return &placement{
 		region:        target.Region,
 		forwardTicket: s.regions.Start(now, target, &j.query, j.wireBytes()),
@@ -50,8 +51,8 @@
 
 // forwardReason returns why the request may be forwarded, or an empty string, and the terms that another region must
 // improve on, which are nil if any region will do.
-func (s *scheduler) forwardReason(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) (string, *routing.Terms) {
-	if !local {
+func (s *scheduler) forwardReason(now time.Time, j *job, q *modelQueue, d routing.Decision, hasEndpoint bool) (string, *routing.Terms) {
+	if !hasEndpoint {
 		return forwardNoEndpoint, nil
 	}
 	terms := d.Terms
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// Refresh reads the known endpoints and regions again and starts waiting requests for which there is capacity now;
-// instances is the number of instances in the region. It must be called at least once per announcement period of the
-// endpoints, so that no cache event is missed.
+// Refresh reads the known endpoints and regions again, unless they are younger than refreshPeriod, and starts
+// waiting requests for which there is capacity then; instances is the number of instances in the region. It must be
+// called at least once per announcement period of the endpoints, so that no cache event is missed.
 func (d *Dispatcher) Refresh(instances int) {
 	d.scheduler.mu.Lock()
 	defer d.scheduler.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // Generate answers a model request into the sink, in as many attempts as the retry budget of its class and its
-// deadline allow. A refusal is a *problem.Problem; any other error is that of the last attempt.
+// deadline allow. A refusal is a *problem.Problem; any other error is that of the last attempt or of ctx.
 func (d *Dispatcher) Generate(ctx context.Context, r Request, sink stream.Sink) (stream.End, error) {
 	j, err := d.newJob(r)
 	if err != nil {
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -23,17 +23,17 @@
 	event.Msg("routed")
 }
 
-// explainForward logs that a request is forwarded to another region; ownTerms are the terms of the local region, or nil
-// if it cannot serve the request.
-func (s *scheduler) explainForward(j *job, d routing.RegionDecision, ownTerms *routing.Terms, reason string) {
+// explainForward logs that a request is forwarded to another region; localTerms are the terms of the local region, or
+// nil if it cannot serve the request.
+func (s *scheduler) explainForward(j *job, d routing.RegionDecision, localTerms *routing.Terms, reason string) {
 	event := s.requestEvent(j).
 		Str("action", "sentAway").
 		Str("reason", reason).
 		Int("scored", d.Scored).
 		Str("region", d.Region).
 		Dict("terms", termsDict(d.Terms))
-	if ownTerms != nil {
-		event = event.Dict("ownTerms", termsDict(*ownTerms))
+	if localTerms != nil {
+		event = event.Dict("ownTerms", termsDict(*localTerms))
 	}
 	event.Msg("routed")
 }
--- a/dispatch/fake_test.go
+++ b/dispatch/fake_test.go
@@ -207,11 +207,12 @@
 func (g *fakeEngine) stepTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.step()
+	return g.stepTimeLocked()
 }
 
-// step returns the time per token, which grows with the batch, and more so while the cache is full.
-func (g *fakeEngine) step() time.Duration {
+// stepTimeLocked returns the time per token, which grows with the batch, and more so while the cache is full; g.mu must
+// be held.
+func (g *fakeEngine) stepTimeLocked() time.Duration {
 	d := g.tokenTime + g.tokenTime*time.Duration(g.running)/time.Duration(2*cap(g.slots))
 	if g.endpoint.CacheTokens > 0 && g.usedTokens >= g.endpoint.CacheTokens {
 		d += swapTime
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -26,13 +26,14 @@
 	team      inventory.Team
 	query     routing.Query
 	attempts  retry.Attempts
-	// excluded are the regions that have failed the request.
+	// excluded are the regions in which an attempt of the request has failed.
 	excluded []string
 	// mayHaveRun reports whether an earlier attempt may have run.
 	mayHaveRun bool
-	pieces     int
-	// quantileTokens is the patienceQuantile of the expected answer length in tokens; this much must fit into the
-	// patience.
+	// pieces is the number of pieces of the answer that the caller has received.
+	pieces int
+	// quantileTokens is the patienceQuantile of the learned answer length in tokens, less the pieces received; a new
+	// request is refused if an answer of this length cannot be completed before its deadline.
 	quantileTokens int
 	// chargedTokens is the number of tokens charged to the team's limit.
 	chargedTokens int
@@ -60,7 +61,8 @@
 	return p.endpoint.Name
 }
 
-// models returns the models that the attempt's endpoint serves, or an empty slice for a region.
+// models returns the models that the placement's endpoint serves: only the empty name for an endpoint of a plain
+// service, and an empty slice, not nil, for another region.
 func (p *placement) models() []string {
 	if p.region != "" {
 		return []string{}
@@ -98,8 +100,8 @@
 	return j, nil
 }
 
-// check refuses a request that has passed this instance before, that has crossed regions more than once, or whose
-// data may not enter this region.
+// check refuses a request that has passed this instance before, that has crossed regions more than once, that is
+// allowed in no region, or that was forwarded to this region although it is not allowed here.
 func (d *Dispatcher) check(inv *inventory.Inventory, r Request) error {
 	if r.Passed(d.self.Instance) {
 		return problem.New(problem.LoopRefused, http.StatusLoopDetected, "the request has passed instance %q before", d.self.Instance)
@@ -131,16 +133,16 @@
 	return n
 }
 
-// relativeCost returns a price relative to the lowest price of any region.
+// relativeCost returns a price relative to the lowest price of any region, or 1 if the lowest price is zero.
 func relativeCost(inv *inventory.Inventory, price float64) float64 {
-	lowest := price
+	lowestPrice := price
 	for _, r := range inv.Contents().Regions {
-		lowest = min(lowest, r.CostPerThousandTokens)
+		lowestPrice = min(lowestPrice, r.CostPerThousandTokens)
 	}
-	if lowest <= 0 {
+	if lowestPrice <= 0 {
 		return 1
 	}
-	return price / lowest
+	return price / lowestPrice
 }
 
 func (j *job) usageKey() admission.UsageKey {
@@ -168,13 +170,14 @@
 	return routes
 }
 
+// route returns the route to a region; its costs are relative to those of the cheapest region.
 func (j *job) route(region inventory.Region, link inventory.Link) routing.Route {
 	cost := relativeCost(j.inventory, region.CostPerThousandTokens)
-	lowest := 0.0
+	lowestPrice := 0.0
 	if cost > 0 {
-		lowest = region.CostPerThousandTokens / cost
+		lowestPrice = region.CostPerThousandTokens / cost
 	}
-	requestCost := lowest * float64(max(j.query.ExpectedTokens, 1)) / 1000
+	requestCost := lowestPrice * float64(max(j.query.ExpectedTokens, 1)) / 1000
 	return routing.Route{
 		Region:         region.Name,
 		RoundTrip:      link.RoundTrip,
@@ -299,9 +302,9 @@
 
 // classifyProblem returns the kind of failure that a problem of an endpoint or another region stands for.
 func classifyProblem(p *problem.Problem) retry.Failure {
-	elsewhere := p.Code == problem.ResidencyRefused || p.Code == problem.LoopRefused || p.Status == http.StatusTooManyRequests
+	retryableElsewhere := p.Code == problem.ResidencyRefused || p.Code == problem.LoopRefused || p.Status == http.StatusTooManyRequests
 	switch {
-	case p.Outcome == problem.NotRun && (elsewhere || p.Status >= http.StatusInternalServerError):
+	case p.Outcome == problem.NotRun && (retryableElsewhere || p.Status >= http.StatusInternalServerError):
 		return retry.NotRun
 	case p.Status >= http.StatusInternalServerError:
 		return retry.Doubtful
--- a/dispatch/limiter.go
+++ b/dispatch/limiter.go
@@ -15,15 +15,15 @@
 	Settle(team string, spent, used int)
 }
 
-// WithLimiter returns a dispatcher that enforces the limits of teams for the requests of its own callers.
+// WithLimiter returns a dispatcher that enforces the limits of teams for requests that come directly from callers.
 func (d *Dispatcher) WithLimiter(l Limiter) *Dispatcher {
 	limited := *d
 	limited.limiter = l
 	return &limited
 }
 
-// chargeLimit charges the expected use of the request to its team's limit; a request from another region was charged
-// there.
+// chargeLimit charges the expected use of the request to its team's limit. A request from another instance is not
+// charged again, as the instance that received it from the caller has charged it.
 func (d *Dispatcher) chargeLimit(j *job) error {
 	if d.limiter == nil || len(j.request.Via) > 0 {
 		return nil
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -4,7 +4,8 @@
 
 // Periods and limits of a dispatcher.
 const (
-	// retryAfterNoCapacity is when a caller may try again if no endpoint is known.
+	// retryAfterNoCapacity is the time after which a caller may retry if its request was refused because no endpoint
+	// is known or because it waited past its latest start.
 	retryAfterNoCapacity = time.Second
 	// refreshPeriod is the age at which the known endpoints and regions are read again.
 	refreshPeriod = 50 * time.Millisecond
@@ -13,11 +14,12 @@
 	discoveryTime = 3 * time.Second
 	// recheckPeriod is the period at which a waiting request is checked again.
 	recheckPeriod = 50 * time.Millisecond
-	// minShortageTime is how long requests must have waited for endpoints before a region that has such endpoints
-	// forwards others, so that a stale report alone is no reason to.
+	// minShortageTime is how long a queue must have held waiting requests before the region counts as short of
+	// capacity and forwards requests that its endpoints could serve later, so that a stale load report alone causes
+	// no forwards.
 	minShortageTime = 500 * time.Millisecond
 	// optionalForwardShare is the share of the requests that may be forwarded to a better region although the local
-	// region could serve them, and maxOptionalForwards the largest number of them at once.
+	// region could serve them, and maxOptionalForwards the largest number of unused forwards that accumulates.
 	optionalForwardShare = 0.015
 	maxOptionalForwards  = 8
 	// reservationUpdatePieces is the number of pieces after which a reservation is updated to the actual use.
--- a/dispatch/loop_test.go
+++ b/dispatch/loop_test.go
@@ -23,10 +23,11 @@
 	t         *rapid.T
 	instances map[string][]*node
 	visits    map[string]int
-	// crossings counts the forwards into each region, and path the forwards on the path to the current instance.
-	crossings map[string]int
-	path      int
-	depth     int
+	// crossings counts the forwards into each region from others, and pathCrossings those on the path to the current
+	// instance; depth is the number of all forwards on this path.
+	crossings     map[string]int
+	pathCrossings int
+	depth         int
 }
 
 // node is one instance with its view, which may be wrong about every region.
@@ -58,12 +59,13 @@
 	return to.dispatcher.Call(ctx, r)
 }
 
+// maxDepth is the number of forwards on one path above which the request is taken to loop.
 const maxDepth = 16
 
 // loopDeadline bounds the retries of one request.
 const loopDeadline = 50 * time.Millisecond
 
-// arrive counts a crossing and draws the instance that receives it.
+// arrive counts a forward to the region and draws the instance that receives it.
 func (p *topology) arrive(from dispatch.Hop, region string) *node {
 	p.depth++
 	if p.depth > maxDepth {
@@ -71,10 +73,10 @@
 	}
 	if from.Region != region {
 		p.crossings[region]++
-		p.path++
+		p.pathCrossings++
 	}
-	if p.path > 1 {
-		p.t.Errorf("the request crossed regions %d times on one way", p.path)
+	if p.pathCrossings > 1 {
+		p.t.Errorf("the request crossed regions %d times on one way", p.pathCrossings)
 	}
 	to := rapid.SampledFrom(p.instances[region]).Draw(p.t, "receiver")
 	p.visits[to.self.Instance]++
@@ -84,7 +86,7 @@
 func (p *topology) leave(from dispatch.Hop, region string) {
 	p.depth--
 	if from.Region != region {
-		p.path--
+		p.pathCrossings--
 	}
 }
 
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -47,20 +47,20 @@
 	q := s.queueFor(j)
 	j.query.Ahead = s.queriesAhead(now, q, j)
 	defer func() { j.query.Ahead = nil }()
-	d, local := s.choose(now, j)
-	if p := s.startNow(now, j, q, d, local); p != nil {
+	d, hasEndpoint := s.choose(now, j)
+	if p := s.startNow(now, j, q, d, hasEndpoint); p != nil {
 		return p, nil, nil
 	}
-	w, err := s.waitOrRefuse(now, j, q, d, local)
+	w, err := s.waitOrRefuse(now, j, q, d, hasEndpoint)
 	return nil, w, err
 }
 
 // startNow starts the request in the local region or forwards it to another one; it returns nil if it does neither.
-func (s *scheduler) startNow(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) *placement {
-	if p := s.tryForward(now, j, q, d, local); p != nil {
+func (s *scheduler) startNow(now time.Time, j *job, q *modelQueue, d routing.Decision, hasEndpoint bool) *placement {
+	if p := s.tryForward(now, j, q, d, hasEndpoint); p != nil {
 		return p
 	}
-	free := local && d.HasCapacity && q.queue.Ahead(j.class.Priority) == 0
+	free := hasEndpoint && d.HasCapacity && q.queue.Ahead(j.class.Priority) == 0
 	if !free || j.class.Deferrable && !s.hasHeadroom(now, j) {
 		return nil
 	}
@@ -70,15 +70,15 @@
 
 // waitOrRefuse enqueues a request that cannot start now, or refuses it. If no other endpoint is known, the endpoints
 // that have failed the request may be tried again.
-func (s *scheduler) waitOrRefuse(now time.Time, j *job, q *modelQueue, d routing.Decision, local bool) (*admission.Waiting[*waiter], error) {
-	if !local && len(j.query.Exclude) > 0 {
+func (s *scheduler) waitOrRefuse(now time.Time, j *job, q *modelQueue, d routing.Decision, hasEndpoint bool) (*admission.Waiting[*waiter], error) {
+	if !hasEndpoint && len(j.query.Exclude) > 0 {
 		j.query.Exclude = nil
-		d, local = s.choose(now, j)
+		d, hasEndpoint = s.choose(now, j)
 	}
-	if !local && s.awaitingDiscovery(now, j, q) {
+	if !hasEndpoint && s.awaitingDiscovery(now, j, q) {
 		return s.enqueue(now, j, q, admission.Verdict{Queue: true}), nil
 	}
-	if !local {
+	if !hasEndpoint {
 		return nil, s.refuseNoCapacity(j)
 	}
 	v := admission.Decide(now, j.request.Deadline, s.estimate(now, j, q, d))
@@ -90,9 +90,9 @@
 }
 
 // awaitingDiscovery reports whether the request may wait because its endpoints may not be known yet: the instance has
-// just started, or knew an endpoint until a moment ago, as during a rolling restart of the endpoints. A request from
-// another region does not wait for an instance that has just started, and no request waits for more than half of its
-// patience.
+// just started, or knew an endpoint until a moment ago, as during a rolling restart of the endpoints. That the instance
+// has just started is no reason for a request from another region to wait, and no request waits for more than half of
+// its patience.
 func (s *scheduler) awaitingDiscovery(now time.Time, j *job, q *modelQueue) bool {
 	if j.request.Deadline.Sub(now) < j.class.Patience/2 {
 		return false
@@ -103,7 +103,8 @@
 	return now.Sub(s.startedAt) < discoveryTime && !j.request.Forwarded(s.self.Region)
 }
 
-// choose returns the best endpoint of the local region that may run the request.
+// choose returns the best endpoint of the local region for the request, with or without free capacity, and reports
+// false if none is known or the request may not run in the region.
 func (s *scheduler) choose(now time.Time, j *job) (routing.Decision, bool) {
 	if !residency.Allows(j.inventory, j.request.Subject(), s.self.Region) {
 		return routing.Decision{}, false
@@ -121,7 +122,8 @@
 	return c.Outstanding < c.Slots*(1-j.inventory.Rules().Headroom)
 }
 
-// estimate returns the expected wait, prefill and decode times of a request that waits.
+// estimate returns the expected wait and prefill times of a request that waits, and the decode time of an answer of its
+// quantileTokens.
 func (s *scheduler) estimate(now time.Time, j *job, q *modelQueue, d routing.Decision) admission.Estimate {
 	c := s.chooser.Capacity(now, j.query.Service, j.query.Model)
 	wait := d.Terms.Wait
@@ -181,7 +183,7 @@
 		s.queues.remove(now, q, w, false)
 		return nil, s.refusePatienceExceeded(j, q, admission.Verdict{RetryAfter: retryAfterNoCapacity})
 	}
-	if _, local := s.choose(now, j); local {
+	if _, hasEndpoint := s.choose(now, j); hasEndpoint {
 		return nil, nil
 	}
 	p := s.tryForward(now, j, q, routing.Decision{}, false)
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -42,8 +42,10 @@
 	all map[queueKey]*modelQueue
 	// nonEmpty are the queues in which requests wait.
 	nonEmpty []*modelQueue
-	shares   map[string]*admission.Shares
-	round    uint64
+	// shares holds the state of the fair sharing between teams by service.
+	shares map[string]*admission.Shares
+	// round is the number of the latest round of starts.
+	round uint64
 }
 
 func newModelQueues() *modelQueues {
@@ -74,7 +76,8 @@
 	q.headAt = time.Time{}
 }
 
-// remove takes a request out of its queue because it starts or its caller has gone, and reports whether it was there.
+// remove takes a request out of its queue and reports whether it was there; starts is false if the request leaves the
+// queue without starting at a local endpoint.
 func (s *modelQueues) remove(now time.Time, q *modelQueue, w *admission.Waiting[*waiter], starts bool) bool {
 	if !q.queue.Remove(w, starts) {
 		return false
@@ -123,9 +126,9 @@
 	return first
 }
 
-// startWaiting starts the waiting requests for which there is capacity, in order across all queues: a request for
-// which there is none keeps those behind it from the endpoints that could serve it. If models is not nil, only
-// requests for these models may start.
+// startWaiting starts the waiting requests for which there is capacity, in order across all queues: a request that must
+// wait for capacity keeps later requests from the endpoints that could serve it. If models is not nil, only requests
+// for these models may start.
 func (s *scheduler) startWaiting(now time.Time, models []string) {
 	if len(s.queues.nonEmpty) == 0 {
 		return
@@ -143,7 +146,7 @@
 	}
 }
 
-// queriesAhead returns the queries of the waiting requests of other queues that precede a new request.
+// queriesAhead returns the queries of the heads of all queues but own that precede a new request.
 func (s *scheduler) queriesAhead(now time.Time, own *modelQueue, j *job) []*routing.Query {
 	var ahead []*routing.Query
 	for _, q := range s.queues.nonEmpty {
--- a/dispatch/recorder.go
+++ b/dispatch/recorder.go
@@ -11,7 +11,8 @@
 // recorder passes on the pieces of all attempts of a request and records what a further attempt needs to resume the
 // answer.
 type recorder struct {
-	sink       stream.Sink
+	sink stream.Sink
+	// next is the position of the next piece, and text the text of all pieces before it.
 	next       int
 	text       strings.Builder
 	sinkFailed bool
@@ -68,7 +69,8 @@
 	r.onStart()
 }
 
-// beginAttempt sets the watchdog of an attempt, and the function that receives the number of pieces.
+// beginAttempt sets the watchdog of an attempt, and the function that receives the number of pieces of the answer so
+// far, over all attempts.
 func (r *recorder) beginAttempt(w *watchdog, onPieces func(int)) {
 	r.watchdog = w
 	r.onPieces = onPieces
@@ -79,13 +81,15 @@
 // watchdog cancels an attempt that makes no progress. The time that the caller needs to accept a piece does not
 // count.
 type watchdog struct {
-	timer   *time.Timer
-	timeout time.Duration
-	pieces  int
+	timer *time.Timer
+	// laterTimeout is the time-out for each piece after the first one of the attempt.
+	laterTimeout time.Duration
+	// pieces is the number of pieces of the attempt.
+	pieces int
 }
 
-func newWatchdog(target string, first, next time.Duration, cancel context.CancelCauseFunc) *watchdog {
-	w := &watchdog{timeout: next}
+func newWatchdog(target string, first, later time.Duration, cancel context.CancelCauseFunc) *watchdog {
+	w := &watchdog{laterTimeout: later}
 	w.timer = time.AfterFunc(first, func() { cancel(&StalledError{Target: target, Timeout: first}) })
 	return w
 }
@@ -94,5 +98,5 @@
 
 func (w *watchdog) progress() {
 	w.pieces++
-	w.timer.Reset(w.timeout)
+	w.timer.Reset(w.laterTimeout)
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -40,7 +40,7 @@
 	Resume Attempt
 	// Claimed reports whether the ledger of the caller's home region holds the claim of this call.
 	Claimed bool
-	// SendBy is the latest time at which the first byte may be sent; zero sets no bound.
+	// SendBy is the latest time at which the first byte may be sent to the endpoint; zero sets no bound.
 	SendBy time.Time
 }
 
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -30,8 +30,9 @@
 	s.resumeBudget.Close(s.now())
 }
 
-// recordEndpoint records an attempt's result in the breaker of its endpoint, and opens or closes the endpoint for
-// requests accordingly.
+// recordEndpoint records an attempt's result in the breaker of its endpoint, and stops or admits new requests to the
+// endpoint if the breaker has opened or closed. After a successful probe, the endpoint counts as tripped for a moment,
+// so that it is admitted with a slow start instead of one request at a time.
 func (s *scheduler) recordEndpoint(now time.Time, name string, err error, failure retry.Failure) {
 	before := s.breakers.State(now, name)
 	after := s.record(now, s.breakers, name, err, failure)
@@ -46,7 +47,8 @@
 	s.log.Info().Str("endpoint", name).Str("state", after.String()).Msg("breaker state changed")
 }
 
-// record counts a success or failure in a breaker; a failure that is due to the request itself counts as neither.
+// record counts a success or failure in a breaker and returns the breaker's state; a failure that is due to the request
+// or its caller counts as neither.
 func (s *scheduler) record(now time.Time, b *retry.Breakers[string], name string, err error, failure retry.Failure) retry.State {
 	switch {
 	case err == nil:
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -31,7 +31,8 @@
 	retryBudget    *retry.Budget[budgetKey]
 	resumeBudget   *retry.Resumes
 	counts         Counts
-	// optionalForwards is the number of requests that may be forwarded although the region could serve them.
+	// optionalForwards is the number of requests that may be forwarded now although the region could serve them. Each
+	// new request adds optionalForwardShare, up to maxOptionalForwards, and each such forward takes one.
 	optionalForwards float64
 	refreshedAt      time.Time
 	startedAt        time.Time
@@ -116,7 +117,7 @@
 	p.ticket.Use(p.promptTokens + pieces)
 }
 
-// finish ends an attempt, releases what it held, and starts requests that wait for it.
+// finish records the result of an attempt, releases its capacity, and starts requests that wait for this capacity.
 func (s *scheduler) finish(j *job, p *placement, err error, failure retry.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/waiting_test.go
+++ b/dispatch/waiting_test.go
@@ -15,7 +15,8 @@
 	"arbutusreel/routing"
 )
 
-// TestCancelReleases checks that a caller that cancels at any time releases everything at once.
+// TestCancelReleases checks that requests that are canceled at any time leave their queue and release their capacity at
+// once.
 func TestCancelReleases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leave := time.Duration(rapid.IntRange(1, 3000).Draw(rt, "leaveMillis")) * time.Millisecond
