--- a/capacity/choose.go
+++ b/capacity/choose.go
@@ -141,7 +141,7 @@
 			extra += remoteByteCost * time.Duration(w.Bytes)
 		}
 		cost := e.Wait + DecodeCost(w, c.Busy) + extra +
-			time.Duration((c.Health.Failures+c.excessFailureRate(baseline))*failureCost*float64(objective))
+			time.Duration((c.Health.FailureRate+c.excessFailureRate(baseline))*failureCost*float64(objective))
 		switch {
 		case best.Index < 0 || cost < bestCost-tieThreshold:
 			ties = 1
@@ -167,7 +167,7 @@
 
 // canServeFetches reports whether other endpoints may fetch from the endpoint; a failing or slow one would delay them.
 func (c Candidate) canServeFetches() bool {
-	return c.Health.Failures < maxSourceFailures && c.Health.Slowdown() <= maxSourceSlowdown
+	return c.Health.FailureRate < maxSourceFailures && c.Health.Slowdown() <= maxSourceSlowdown
 }
 
 // preferredCandidate returns the index of the candidate that the last shared part of the prompt is hashed to by
--- a/capacity/choose_test.go
+++ b/capacity/choose_test.go
@@ -73,7 +73,7 @@
 	for name, c := range map[string]struct {
 		health  Health
 		fetches bool
-	}{"sound": {NewHealth(), true}, "failing": {Health{Factor: 1, Failures: 0.5}, false}, "slow": {Health{Factor: 6}, false}} {
+	}{"sound": {NewHealth(), true}, "failing": {Health{Factor: 1, FailureRate: 0.5}, false}, "slow": {Health{Factor: 6}, false}} {
 		all := candidates(5)
 		all[preferred.Index].Outstanding = Outstanding{Requests: 5, Waiting: Backlog{5}, PromptTokens: Backlog{60_000}}
 		all[preferred.Index].Health = c.health
@@ -113,12 +113,12 @@
 func TestSlowAndFailingEngines(t *testing.T) {
 	bad := map[string]func(*Candidate){
 		"slow":        func(c *Candidate) { c.Health.Factor = 6 },
-		"failing":     func(c *Candidate) { c.Health.Failures = 0.4 },
+		"failing":     func(c *Candidate) { c.Health.FailureRate = 0.4 },
 		"no slot":     func(c *Candidate) { c.Outstanding.Requests = 200 },
 		"no memory":   func(c *Candidate) { c.Outstanding.HeldTokens = 499_000 },
 		"busy":        func(c *Candidate) { c.Busy = 1 },
 		"long queue":  func(c *Candidate) { c.Outstanding.PromptTokens[0] = 50_000 },
-		"all at once": func(c *Candidate) { c.Health = Health{Factor: 3, Failures: 0.2}; c.Busy = 0.5 },
+		"all at once": func(c *Candidate) { c.Health = Health{Factor: 3, FailureRate: 0.2}; c.Busy = 0.5 },
 	}
 	for name, degrade := range bad {
 		t.Run(name, func(t *testing.T) {
--- a/capacity/speed.go
+++ b/capacity/speed.go
@@ -113,12 +113,12 @@
 	return took - max(waited, 0)
 }
 
-// Health holds the learned slowdown and failures of one endpoint. It is an immutable value.
+// Health holds the learned slowdown and failure rate of one endpoint. It is an immutable value.
 type Health struct {
 	// Factor is the average ratio of observed to expected times.
 	Factor float64
-	// Failures is the recent share of failed requests.
-	Failures float64
+	// FailureRate is the recent share of failed requests, as observed by one gateway.
+	FailureRate float64
 }
 
 // NewHealth returns the health assumed before the first observation.
@@ -140,6 +140,6 @@
 	if failed {
 		observed = 1
 	}
-	h.Failures += healthGain * (observed - h.Failures)
+	h.FailureRate += healthGain * (observed - h.FailureRate)
 	return h
 }
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -41,8 +41,8 @@
 	State         State
 	// ColdUntil is the end of the warm-up of caches and code paths; zero if the endpoint is warm.
 	ColdUntil time.Time
-	// GoneAt is the time at which a reclaimed endpoint ends, even with requests running; zero if it is unknown.
-	GoneAt time.Time
+	// TerminatesAt is the time at which a reclaimed endpoint ends, even with requests running; zero if it is unknown.
+	TerminatesAt time.Time
 	// LastSeen is the time of the last heartbeat.
 	LastSeen time.Time
 }
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -74,13 +74,13 @@
 // coldTolerance is the difference in ColdUntil below which two heartbeats count as equal.
 const coldTolerance = 250 * time.Millisecond
 
-// sameState reports whether two records are equal apart from Sequence, LastSeen, fractions of a second of GoneAt, and a
-// difference in ColdUntil below coldTolerance.
+// sameState reports whether two records are equal apart from Sequence, LastSeen, fractions of a second of TerminatesAt,
+// and a difference in ColdUntil below coldTolerance.
 func sameState(a, b Endpoint) bool {
 	drift := a.ColdUntil.Sub(b.ColdUntil).Abs()
 	sameCold := a.ColdUntil.IsZero() == b.ColdUntil.IsZero() && drift < coldTolerance
 	a.Sequence, a.LastSeen, a.ColdUntil = b.Sequence, b.LastSeen, b.ColdUntil
-	a.GoneAt, b.GoneAt = a.GoneAt.Truncate(time.Second), b.GoneAt.Truncate(time.Second)
+	a.TerminatesAt, b.TerminatesAt = a.TerminatesAt.Truncate(time.Second), b.TerminatesAt.Truncate(time.Second)
 	return sameCold && a == b
 }
 
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -52,13 +52,13 @@
 // Unwrap returns the cause.
 func (e *CallerError) Unwrap() error { return e.Cause }
 
-// SilentStreamError reports that an endpoint has sent nothing within the timeout.
-type SilentStreamError struct {
+// SilentEndpointError reports that an endpoint has sent nothing within the timeout.
+type SilentEndpointError struct {
 	Limit time.Duration
 }
 
 // Error names the timeout.
-func (e *SilentStreamError) Error() string {
+func (e *SilentEndpointError) Error() string {
 	return fmt.Sprintf("the endpoint sent nothing for %v", e.Limit)
 }
 
@@ -72,13 +72,13 @@
 	return fmt.Sprintf("event %d arrived instead of event %d", e.Got, e.Want)
 }
 
-// UnsignedAnswerError reports an answer that must not be passed on: a success without an endpoint's signature or with a
+// UnusableAnswerError reports an answer that must not be passed on: a success without an endpoint's signature or with a
 // content encoding, or an answer that cannot continue a stream in progress.
-type UnsignedAnswerError struct {
+type UnusableAnswerError struct {
 	Status int
 }
 
 // Error names the status.
-func (e *UnsignedAnswerError) Error() string {
+func (e *UnusableAnswerError) Error() string {
 	return fmt.Sprintf("an answer with status %d is not signed by an endpoint", e.Status)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -158,7 +158,7 @@
 	for _, kind := range []routes.Kind{routes.Unsafe, routes.Safe, routes.Stream} {
 		r := routes.Route{
 			Name: kind.String(), Host: testHost, PathPrefix: "/" + kind.String() + "/", Kind: kind, MaxAttempts: 2, Resumable: true,
-			Backends: []routes.Backend{{Service: "desk", Weight: 1}}, Timeout: 5 * time.Second, Objective: time.Second, Gap: 100 * time.Millisecond,
+			Backends: []routes.Backend{{Service: "desk", Weight: 1}}, Timeout: 5 * time.Second, Objective: time.Second, GapObjective: 100 * time.Millisecond,
 		}
 		if kind == routes.Unsafe {
 			r.MaxAttempts = 1
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -177,7 +177,7 @@
 	speed := p.currentSpeed(now, v, q.service.Name)
 	q.work.Rank = capacity.Rank(q.route.Priority, false)
 	local, endpoints := p.localCandidates(now, v, q)
-	choice, ok := capacity.Choose(local, q.work, speed, fetchTime(q.service), q.route.Objective, p.rng.Float64())
+	choice, ok := capacity.Choose(local, q.work, speed, fetchTimePerToken(q.service), q.route.Objective, p.rng.Float64())
 	here := decision{verdict: capacity.Refuse, expected: noEndpointTime, cost: noEndpointTime, reason: reasonNoEndpoint, candidates: len(local)}
 	if !q.route.Allows(p.cfg.Region) {
 		here.reason = reasonNotAllowedInRegion
@@ -214,13 +214,13 @@
 	return here
 }
 
-// fetchTime returns the time to fetch one prompt token from another endpoint's prefix cache, or zero if the service's
-// engines cannot do so.
-func fetchTime(s *routes.Service) time.Duration {
+// fetchTimePerToken returns the time to fetch one prompt token from another endpoint's prefix cache, or zero if the
+// service's engines cannot do so.
+func fetchTimePerToken(s *routes.Service) time.Duration {
 	if s.Engine == nil {
 		return 0
 	}
-	return s.Engine.FetchTime
+	return s.Engine.FetchTimePerToken
 }
 
 // canServeOnTime reports whether an endpoint of this region is expected to answer a request within its objective.
@@ -229,7 +229,7 @@
 	defer p.mu.Unlock()
 	q.work.Rank = capacity.Rank(q.route.Priority, false)
 	local, _ := p.localCandidates(now, v, q)
-	choice, ok := capacity.Choose(local, q.work, p.currentSpeed(now, v, q.service.Name), fetchTime(q.service), q.route.Objective, 0)
+	choice, ok := capacity.Choose(local, q.work, p.currentSpeed(now, v, q.service.Name), fetchTimePerToken(q.service), q.route.Objective, 0)
 	return ok && capacity.Admit(choice.Expected, choice.Expected, q.budget) == capacity.Take
 }
 
@@ -247,7 +247,7 @@
 	for i := range all {
 		e := &all[i]
 		s := p.state(e)
-		if q.tried[e.ID] || !p.endpointBreakers.Allows(now, e.ID) || !e.GoneAt.IsZero() {
+		if q.tried[e.ID] || !p.endpointBreakers.Allows(now, e.ID) || !e.TerminatesAt.IsZero() {
 			continue
 		}
 		if p.isCold(e, s, now) && s.coldWindow.Count(now) >= p.coldLimit(now, q.service, e, rank, n) {
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -153,7 +153,7 @@
 	for i := range endpoints {
 		e := &endpoints[i]
 		s := p.state(e)
-		if p.endpointBreakers.State(now, e.ID) != retry.Closed || p.isCold(e, s, now) || !e.GoneAt.IsZero() {
+		if p.endpointBreakers.State(now, e.ID) != retry.Closed || p.isCold(e, s, now) || !e.TerminatesAt.IsZero() {
 			continue
 		}
 		peers := p.peerSum(now, e.ID)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -102,7 +102,7 @@
 	defer timer.mu.Unlock()
 	timer.timer = time.AfterFunc(limit, func() {
 		if j.g.placer.canServeOnTime(time.Now(), j.g.view.Load(), q) {
-			cancel(&SilentStreamError{Limit: limit})
+			cancel(&SilentEndpointError{Limit: limit})
 			return
 		}
 		timer.rearm(limit / 2)
@@ -136,7 +136,7 @@
 
 // endingOf returns how an attempt ended whose exchange failed with err.
 func (j *job) endingOf(ctx context.Context, err error) ending {
-	var silent *SilentStreamError
+	var silent *SilentEndpointError
 	var failure *exchange.Error
 	switch {
 	case errors.As(context.Cause(ctx), &silent):
@@ -169,7 +169,7 @@
 func (j *job) relayAnswer(ctx context.Context, answer *exchange.Response, verdict Verdict, a *attempt, timer *firstTimer) (ending, nextStep) {
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if success && (!verdict.Signed || answer.Header.Get("Content-Encoding") != "") {
-		return failed, j.recordFailure(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Unknown)
+		return failed, j.recordFailure(ctx, &UnusableAnswerError{Status: answer.Status}, problem.Unknown)
 	}
 	if success && j.route.Kind == routes.Stream && isEventStream(answer.Header) {
 		return j.relayStream(ctx, answer, a, timer)
@@ -184,7 +184,7 @@
 	}
 	if j.streaming() {
 		// A stream in progress cannot be continued by an answer that is not a stream.
-		return failed, j.recordFailure(ctx, &UnsignedAnswerError{Status: answer.Status}, problem.Ran)
+		return failed, j.recordFailure(ctx, &UnusableAnswerError{Status: answer.Status}, problem.Ran)
 	}
 	if buffered.rest == nil && answer.Status >= http.StatusInternalServerError {
 		j.bufferedError = buffered
--- a/routes/table.go
+++ b/routes/table.go
@@ -48,8 +48,8 @@
 	Timeout time.Duration
 	// Objective is the target time to the start of an answer or to the first event of a stream.
 	Objective time.Duration
-	// Gap is the target for the longest pause between two events of a stream; zero sets no target.
-	Gap time.Duration
+	// GapObjective is the target for the longest pause between two events of a stream; zero sets no target.
+	GapObjective time.Duration
 	// Priority ranks the route among those of its service; zero is the most urgent.
 	Priority int
 	// MaxAttempts is the greatest number of endpoints that one request may be sent to.
@@ -78,9 +78,9 @@
 	CacheTokens int64
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// FetchTime is the time to fetch the KV cache of one prompt token from another engine; zero if engines cannot
-	// fetch.
-	FetchTime time.Duration
+	// FetchTimePerToken is the time to fetch the KV cache of one prompt token from another engine; zero if engines
+	// cannot fetch.
+	FetchTimePerToken time.Duration
 }
 
 // Service is a set of endpoints that serve the same requests.
--- a/wire/fleet.go
+++ b/wire/fleet.go
@@ -20,8 +20,8 @@
 	if e.Cold(now) {
 		m.ColdMillis = e.ColdUntil.Sub(now).Milliseconds()
 	}
-	if !e.GoneAt.IsZero() {
-		m.RemainingMillis = max(e.GoneAt.Sub(now).Milliseconds(), 0)
+	if !e.TerminatesAt.IsZero() {
+		m.RemainingMillis = max(e.TerminatesAt.Sub(now).Milliseconds(), 0)
 	}
 	return m
 }
@@ -37,7 +37,7 @@
 		e.ColdUntil = now.Add(time.Duration(m.GetColdMillis()) * time.Millisecond)
 	}
 	if m.GetRemainingMillis() != remainingUnknown {
-		e.GoneAt = now.Add(time.Duration(m.GetRemainingMillis()) * time.Millisecond)
+		e.TerminatesAt = now.Add(time.Duration(m.GetRemainingMillis()) * time.Millisecond)
 	}
 	return e
 }
